--- a/benchmarks/backend-limits.ts
+++ b/benchmarks/backend-limits.ts
@@ -2,11 +2,11 @@
 // alone, by equal parts, and by the first nodes in an order.
 import {
 	mostIn,
-	playLimit,
+	simulateLimit,
 	type LimitPlan,
 } from '../tests/backend-limits/limit-model.ts';
 import {
-	createAloneRule,
+	createUncoordinatedRule,
 	createEqualRule,
 	createNoRule,
 	createSharedRule,
@@ -21,7 +21,7 @@
 
 const ways: Readonly<Record<string, LimitPlan['createRule']>> = {
 	'not at all': createNoRule,
-	'each node alone': createAloneRule,
+	'each node alone': createUncoordinatedRule,
 	'equal parts': createEqualRule,
 	'first in an order': createSharedRule,
 };
@@ -41,7 +41,7 @@
 	const rows = cases.flatMap(({nodes, perSecond}) =>
 		Object.entries(ways).map(([way, createRule]) => {
 			const plays = seeds.map((seed) =>
-				playLimit({
+				simulateLimit({
 					seed,
 					createRule,
 					nodes,
--- a/benchmarks/decisions.ts
+++ b/benchmarks/decisions.ts
@@ -40,7 +40,7 @@
 	const fleet = createLoadedFleet(configuration);
 
 	const chooser = createTargetChooser({
-		limits: {hasRoom: () => true, rateOf: () => undefined},
+		limits: {canSend: () => true, rateOf: () => undefined},
 		availabilityZone: 'zone-0',
 		fleet,
 		random: createRandom(1),
--- a/benchmarks/limits.ts
+++ b/benchmarks/limits.ts
@@ -6,7 +6,7 @@
 	allowedInWindow,
 	modelWindowMs,
 	mostInWindow,
-	playLimits,
+	simulateLimits,
 	type ModelRequest,
 	type ModelResult,
 } from '../tests/limits/limits-model.ts';
@@ -91,7 +91,7 @@
 		const now = request.at;
 		if (now - toldAt >= intervalMs) {
 			toldAt = now;
-			const asked = holders.map(({window}) => window.usage(now).asked + 1);
+			const asked = holders.map(({window}) => window.usage(now).requested + 1);
 			const total = asked.reduce((sum, each) => sum + each, 0);
 			for (const [index, holder] of holders.entries()) {
 				holder.part = asked[index]! / total;
@@ -105,7 +105,7 @@
 			holder.tokens + refill * holder.part,
 		);
 		holder.filledAt = now;
-		holder.window.asked(request.count, now);
+		holder.window.recordRequested(request.count, now);
 		if (holder.tokens > 0) {
 			holder.tokens -= request.count;
 			passed.push(request);
@@ -131,7 +131,7 @@
 	'lease of a zone': (zones, requests) =>
 		playBuckets(zones.length, (node) => zoneOf(zones, node), requests),
 	'counts added up': (zones, requests) =>
-		playLimits({zones, limit, requests, seed: 5}),
+		simulateLimits({zones, limit, requests, seed: 5}),
 };
 
 const sumOf = (zones: readonly number[]): number =>
--- a/benchmarks/model/fleet-model.ts
+++ b/benchmarks/model/fleet-model.ts
@@ -12,7 +12,7 @@
 import {
 	createTargetChooser,
 	type GatewayRequest,
-	type HeardSummary,
+	type ReceivedZoneSummary,
 	type TargetChooser,
 } from '../../src/requests/index.ts';
 import {createRetryBudget, type RetryBudget} from '../../src/retries/index.ts';
@@ -202,7 +202,10 @@
 			? {...policy, name: weight, backendServers: selectorOf(weight)}
 			: policy;
 	const policies = {light: policyOf('light'), heavy: policyOf('heavy')};
-	const summaries = new Map<string, HeardSummary & {readonly at: number}>();
+	const summaries = new Map<
+		string,
+		ReceivedZoneSummary & {readonly at: number}
+	>();
 	const serversIn = (zone: number) =>
 		servers.filter(({availabilityZone}) => availabilityZone === zones[zone]);
 	const isZoneUp = (zone: number) =>
@@ -221,7 +224,7 @@
 			status: 'alive',
 		});
 		const chooser = createTargetChooser({
-			limits: {hasRoom: () => true, rateOf: () => undefined},
+			limits: {canSend: () => true, rateOf: () => undefined},
 			availabilityZone: zones[zone]!,
 			fleet,
 			random: createRandom(seed * 100 + zone * 10 + index),
--- a/benchmarks/quarantine.ts
+++ b/benchmarks/quarantine.ts
@@ -2,8 +2,8 @@
 // three in turn, more than any other request at the last of them has; the same with suspects spread over servers.
 import {createCrashLedger} from '../src/quarantine/index.ts';
 import {
-	playCrashes,
-	type CrashPlan,
+	simulateCrashes,
+	type CrashScenario,
 	type CrashResult,
 	type CrashRule,
 } from '../tests/quarantine/crash-model.ts';
@@ -11,21 +11,21 @@
 
 const plays = 10;
 const enough = 3;
-const patienceMs = 1000;
+const maximumIsolationWaitMs = 1000;
 
 // Whatever was at three crashes is refused from then on.
 const createPlainCount = (): CrashRule => {
 	const lives = new Map<string, Set<string>>();
 	return {
-		hear({life, runs}) {
+		addCrash({incarnationId, runs}) {
 			for (const {fingerprint} of runs) {
 				const known = lives.get(fingerprint) ?? new Set();
-				lives.set(fingerprint, known.add(life));
+				lives.set(fingerprint, known.add(incarnationId));
 			}
 		},
 		served: (fingerprint) => lives.delete(fingerprint),
-		settle: () => [],
-		standing(fingerprint) {
+		evaluate: () => [],
+		status(fingerprint) {
 			const crashes = lives.get(fingerprint)?.size ?? 0;
 			if (crashes >= enough) {
 				return {kind: 'quarantined', until: Infinity};
@@ -37,14 +37,14 @@
 };
 
 const createNothing = (): CrashRule => ({
-	hear: () => undefined,
+	addCrash: () => undefined,
 	served: () => false,
-	settle: () => [],
-	standing: () => ({kind: 'clear'}),
+	evaluate: () => [],
+	status: () => ({kind: 'clear'}),
 });
 
 const ways: Readonly<
-	Record<string, Pick<CrashPlan, 'createRule' | 'isolatedFrom'>>
+	Record<string, Pick<CrashScenario, 'createRule' | 'isolatedFrom'>>
 > = {
 	'nothing remembered': {createRule: createNothing, isolatedFrom: Infinity},
 	'any three crashes': {createRule: createPlainCount, isolatedFrom: Infinity},
@@ -65,7 +65,10 @@
 const loads: Readonly<
 	Record<
 		string,
-		Omit<CrashPlan, 'createRule' | 'isolatedFrom' | 'patienceMs' | 'seed'>
+		Omit<
+			CrashScenario,
+			'createRule' | 'isolatedFrom' | 'maximumIsolationWaitMs' | 'seed'
+		>
 	>
 > = {
 	'one request, 4 servers': {
@@ -111,7 +114,12 @@
 			way,
 			...summary(
 				Array.from({length: plays}, (_, index) =>
-					playCrashes({...plan, ...decided, patienceMs, seed: index + 1}),
+					simulateCrashes({
+						...plan,
+						...decided,
+						maximumIsolationWaitMs,
+						seed: index + 1,
+					}),
 				),
 			),
 		})),
--- a/benchmarks/registry-orders.ts
+++ b/benchmarks/registry-orders.ts
@@ -3,7 +3,7 @@
 */
 import process from 'node:process';
 import {createRegistryMirror} from '../src/registry/index.ts';
-import {playRestoredRegistry} from '../tests/registry/restored-registry-model.ts';
+import {runRestoreModel} from '../tests/registry/restored-registry-model.ts';
 import {
 	createRevisionOrder,
 	createWriterOrder,
@@ -37,7 +37,7 @@
 		for (const hasEras of [true, false]) {
 			const counts = new Map<string, number>();
 			for (let seed = 1; seed <= plays; seed += 1) {
-				const broken = await playRestoredRegistry(
+				const broken = await runRestoreModel(
 					{mock},
 					{seed, hasEras, lengthMs, createMirror},
 				);
--- a/soak/check-soak.ts
+++ b/soak/check-soak.ts
@@ -37,7 +37,7 @@
 	/**
 	From when on all is sound again.
 	*/
-	readonly calmFrom: number;
+	readonly recoveredAt: number;
 };
 
 const drainMs = 3000;
@@ -168,14 +168,14 @@
 	later: readonly ServerEvent[],
 	isExcused: Excuse,
 ): readonly Violation[] => {
-	const {at, restMs} = told;
+	const {at, backoffMs: restMs} = told;
 	if (restMs === undefined || isExcused(at, at + restMs)) {
 		return [];
 	}
 
 	const within = later.filter(
 		(each) =>
-			each.restMs !== undefined &&
+			each.backoffMs !== undefined &&
 			each.at > at + inFlightMs &&
 			each.at < at + restMs,
 	);
@@ -304,10 +304,10 @@
 
 const checkRecovery = ({
 	records,
-	calmFrom,
+	recoveredAt,
 }: SoakHistory): readonly Violation[] => {
 	const calm = records.filter(
-		({sentAt, leftAt}) => sentAt >= calmFrom && leftAt === Infinity,
+		({sentAt, leftAt}) => sentAt >= recoveredAt && leftAt === Infinity,
 	);
 	const served = calm.filter(({status, isWhole}) => status === 200 && isWhole);
 	return served.length >= calm.length * recoveredPart
--- a/soak/play-soak.ts
+++ b/soak/play-soak.ts
@@ -9,7 +9,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {request} from 'undici';
 import {createRandom} from '../src/shared/index.ts';
-import {endAll} from '../stand-ins/child-process.ts';
+import {killAll} from '../stand-ins/child-process.ts';
 import {startRegistryServer} from '../stand-ins/registry-server.ts';
 import {createStandInRegistry} from '../stand-ins/registry.ts';
 import {checkSoak, type SoakHistory, type Violation} from './check-soak.ts';
@@ -84,7 +84,7 @@
 		registryAddress,
 		logFolder,
 	});
-	process.once('exit', endAll);
+	process.once('exit', killAll);
 	try {
 		await untilReady(nodes);
 		await sleep(settleMs);
@@ -100,7 +100,7 @@
 		}
 
 		await sleep(healMs);
-		const calmFrom = performance.now();
+		const recoveredAt = performance.now();
 		await sleep(calmMs);
 		const records = await finish();
 		const history: SoakHistory = {
@@ -109,11 +109,11 @@
 				.flatMap(({events}) => events)
 				.toSorted((left, right) => left.at - right.at),
 			disturbances: nodes.disturbances,
-			calmFrom,
+			recoveredAt,
 		};
 		return {violations: checkSoak(history), history, logFolder};
 	} finally {
-		process.off('exit', endAll);
+		process.off('exit', killAll);
 		await nodes.stop();
 		await Promise.all(servers.map(async (server) => server.close()));
 		await registryServer.close();
@@ -174,9 +174,9 @@
 ): Promise<void> => {
 	switch (fault.kind) {
 		case 'freeze': {
-			nodes.freeze(fault.node);
+			nodes.pause(fault.node);
 			await sleep(fault.forMs);
-			nodes.thaw(fault.node);
+			nodes.resume(fault.node);
 			return;
 		}
 
@@ -189,7 +189,7 @@
 		}
 
 		case 'leave': {
-			servers[fault.server]!.leave();
+			servers[fault.server]!.announceShutdown();
 			await sleep(fault.forMs + 4000);
 			servers[fault.server]!.restart();
 			return;
@@ -208,18 +208,18 @@
 		case 'break':
 		case 'hang':
 		case 'crash': {
-			servers[fault.server]!.behave(fault.kind);
+			servers[fault.server]!.setBehaviour(fault.kind);
 			await sleep(fault.forMs);
-			servers[fault.server]!.behave('sound');
+			servers[fault.server]!.setBehaviour('sound');
 			return;
 		}
 
 		case 'registry-away': {
-			return routes.away(fault.forMs);
+			return routes.takeRegistryDown(fault.forMs);
 		}
 
 		case 'registry-restored': {
-			return routes.restore(fault.forMs, fault.writes);
+			return routes.restoreRegistry(fault.forMs, fault.writes);
 		}
 
 		case 'routes': {
--- a/soak/soak-nodes.ts
+++ b/soak/soak-nodes.ts
@@ -18,8 +18,8 @@
 export type SoakNodes = {
 	readonly callerAddresses: readonly string[];
 	readonly disturbances: readonly Disturbance[];
-	freeze(node: number): void;
-	thaw(node: number): void;
+	pause(node: number): void;
+	resume(node: number): void;
 	/**
 	Ends a node by a signal and starts it again after a while.
 	*/
@@ -100,7 +100,7 @@
 	return {
 		callerAddresses,
 		disturbances,
-		freeze(node) {
+		pause(node) {
 			if (busy.has(node)) {
 				return;
 			}
@@ -109,7 +109,7 @@
 			begin(node);
 			processes[node]!.child.kill('SIGSTOP');
 		},
-		thaw(node) {
+		resume(node) {
 			const open = disturbances.findLast(
 				(each) => each.node === node && each.until === Infinity,
 			);
--- a/soak/soak-routes.ts
+++ b/soak/soak-routes.ts
@@ -16,11 +16,11 @@
 	/**
 	The registry is away for a time, in milliseconds.
 	*/
-	away(forMs: number): Promise<void>;
+	takeRegistryDown(forMs: number): Promise<void>;
 	/**
 	The registry is away for a time and comes back from a copy that is some writes old; what was lost is written again a moment later.
 	*/
-	restore(forMs: number, writes: number): Promise<void>;
+	restoreRegistry(forMs: number, writes: number): Promise<void>;
 	/**
 	The latest version that all nodes must have in force.
 	*/
@@ -118,12 +118,12 @@
 
 	return {
 		change,
-		async away(forMs) {
+		async takeRegistryDown(forMs) {
 			leave();
 			await sleep(forMs);
 			comeBack();
 		},
-		async restore(forMs, writes) {
+		async restoreRegistry(forMs, writes) {
 			leave();
 			await sleep(forMs);
 			const writeAgain = registry.restore(
--- a/soak/soak-server.ts
+++ b/soak/soak-server.ts
@@ -34,7 +34,7 @@
 	/**
 	Rest that the answer asked for, in milliseconds.
 	*/
-	readonly restMs: number | undefined;
+	readonly backoffMs: number | undefined;
 	/**
 	Requests a second over all nodes that the answer stated; undefined for no limit.
 	*/
@@ -56,11 +56,11 @@
 */
 export type SoakServer = {
 	readonly events: readonly ServerEvent[];
-	behave(behaviour: Behaviour): void;
+	setBehaviour(behaviour: Behaviour): void;
 	/**
 	Announces its shutdown until it starts again.
 	*/
-	leave(): void;
+	announceShutdown(): void;
 	/**
 	States a rate limit, or none.
 	*/
@@ -223,7 +223,7 @@
 				resumedAfter: Number(request.headers['last-event-id'] ?? 0),
 				isRun: !isRefused,
 				isLeaving,
-				restMs,
+				backoffMs: restMs,
 				limit,
 				endedAt: Infinity,
 			};
@@ -245,10 +245,10 @@
 
 	return {
 		events,
-		behave(next) {
+		setBehaviour(next) {
 			behaviour = next;
 		},
-		leave() {
+		announceShutdown() {
 			isLeaving = true;
 		},
 		limit(perSecond) {
--- a/src/administration/administration-controller.ts
+++ b/src/administration/administration-controller.ts
@@ -66,10 +66,10 @@
 	*/
 	@Get('configuration')
 	configuration() {
-		const {configuration, ownRegion} = this.#node;
+		const {configuration, localRegion} = this.#node;
 		return {
 			...configuration.stamp(),
-			region: ownRegion(),
+			region: localRegion(),
 			document: configuration.current()?.configuration,
 			refusals: configuration.refusals(),
 		};
--- a/src/administration/explain.ts
+++ b/src/administration/explain.ts
@@ -7,8 +7,8 @@
 	type PolicyVerdict,
 } from '../policies/index.ts';
 import {
-	judgeBackendServers,
-	judgeRegions,
+	evaluateBackendServers,
+	evaluateRegions,
 	resolveResidency,
 	type CandidateVerdict,
 } from '../routing/index.ts';
@@ -107,7 +107,7 @@
 	);
 	const policy = verdicts.find(({verdict}) => verdict === 'matches')?.policy;
 	const regions = policy
-		? judgeRegions(configuration, policy, residency.value)
+		? evaluateRegions(configuration, policy, residency.value)
 		: [];
 	const states = live?.fleet
 		.states(live.clock())
@@ -118,7 +118,7 @@
 		policies: describeVerdicts(verdicts, policy),
 		regions,
 		backendServers: policy
-			? judgeBackendServers({
+			? evaluateBackendServers({
 					configuration,
 					policy,
 					service: service.name,
--- a/src/backend-limits/backend-limits.ts
+++ b/src/backend-limits/backend-limits.ts
@@ -1,11 +1,15 @@
 import type {Logger} from '../logging/index.ts';
-import type {Without} from '../mechanisms/index.ts';
+import type {DisabledMechanisms} from '../mechanisms/index.ts';
 import type {Member} from '../membership/index.ts';
 import type {BackendLimitMessage} from '../peers/backend-limit-messages.ts';
 import {createDerived, createNodeOrder} from '../shared/index.ts';
 import {createLimitEntries, type LimitEntry} from './limit-entries.ts';
 import {createLimitLog, type LimitChange} from './limit-log.ts';
-import {limitShare, readingPart, type LimitShare} from './limit-share.ts';
+import {
+	limitShare,
+	enginePollFraction,
+	type LimitShare,
+} from './limit-share.ts';
 import type {LimitStatement} from './limit-statement.ts';
 import {createLimitBroadcast, freshStatementMs} from './limit-broadcast.ts';
 
@@ -18,7 +22,7 @@
 
 	@param life Names the life of the server.
 	*/
-	stated(
+	recordStatement(
 		life: string,
 		statement: LimitStatement,
 		source: Exclude<LimitChange['source'], 'node'>,
@@ -26,11 +30,11 @@
 	/**
 	Takes in what another node tells.
 	*/
-	hear(message: BackendLimitMessage, now: number): void;
+	receive(message: BackendLimitMessage, now: number): void;
 	/**
 	Whether this node may send one more request to a server now.
 	*/
-	hasRoom(life: string, now: number): boolean;
+	canSend(life: string, now: number): boolean;
 	/**
 	Requests a second that this node may send to a server; undefined where the server has no limit.
 	*/
@@ -38,11 +42,11 @@
 	/**
 	Milliseconds between two readings of what an engine keeps; 0 where it has no limit.
 	*/
-	readingPauseMs(life: string): number;
+	enginePollIntervalMs(life: string): number;
 	/**
 	A request is sent to a server, whatever its limit.
 	*/
-	sent(life: string, now: number): void;
+	recordSend(life: string, now: number): void;
 	/**
 	Tells other nodes, and forgets limits that have ended; called at each tick.
 	*/
@@ -50,7 +54,7 @@
 	/**
 	Whether any server has a limit.
 	*/
-	areThere(): boolean;
+	hasAny(): boolean;
 	/**
 	For metrics: servers that have a limit, requests that were sent to them, and looks that found no room.
 	*/
@@ -75,19 +79,19 @@
 	/**
 	Whether this node may use a limited server: it has had time to hear of the others, and is not leaving.
 	*/
-	readonly mayShare: () => boolean;
-	readonly tell: (
+	readonly canUseLimitedServers: () => boolean;
+	readonly send: (
 		members: readonly Member[],
 		message: BackendLimitMessage,
 	) => void;
-	readonly without: Without;
+	readonly without: DisabledMechanisms;
 	readonly logger: Logger;
 };
 
 /**
 The longest pause between two readings of what a limited engine keeps, in milliseconds.
 */
-export const longestReadingPauseMs = 30_000;
+export const maximumEnginePollIntervalMs = 30_000;
 
 // What a message may have been under way longer than its ages say, in milliseconds.
 const transitMs = 100;
@@ -99,8 +103,8 @@
 	self,
 	peers,
 	reachableFraction,
-	mayShare,
-	tell,
+	canUseLimitedServers,
+	send,
 	without,
 	logger,
 }: BackendLimitsOptions): BackendLimits => {
@@ -115,66 +119,77 @@
 		self,
 		entries,
 		order,
-		tellPeers(message) {
-			tell(peers(), message);
+		sendToPeers(message) {
+			send(peers(), message);
 		},
 	});
 	let sentToLimited = 0;
 	let heldBack = 0;
 
 	const shareOf = (
-		life: string,
+		incarnationId: string,
 		{perSecond}: LimitEntry,
 	): LimitShare | undefined =>
 		perSecond === undefined
 			? undefined
-			: limitShare(mayShare() ? perSecond : 0, {
-					rank: order.rank(life),
+			: limitShare(canUseLimitedServers() ? perSecond : 0, {
+					rank: order.rank(incarnationId),
 					nodes: peers().length + 1,
 					reachableFraction: reachableFraction(),
 				});
 
 	const take = (
-		life: string,
+		incarnationId: string,
 		given: LimitStatement,
 		how: Pick<LimitChange, 'source' | 'from'>,
 		now: number,
 	) => {
-		const change = entries.take(life, given, now);
+		const change = entries.record(incarnationId, given, now);
 		if (!change) {
 			return;
 		}
 
 		const {entry, before} = change;
-		const {perSecond, sent} = entry;
-		const share = shareOf(life, entry);
+		const {perSecond, sentSinceChange} = entry;
+		const share = shareOf(incarnationId, entry);
 		log.changed(
-			{life, before, perSecond, ...how, ageMs: now - given.earliest},
 			{
-				sentBefore: sent,
+				incarnationId,
+				before,
+				perSecond,
+				...how,
+				ageMs: now - given.earliest,
+			},
+			{
+				sentBefore: sentSinceChange,
 				...(share && {share: share.perSecond}),
 				nodes: peers().length + 1,
 				reachableFraction: reachableFraction(),
 			},
 			now,
 		);
-		entry.sent = 0;
-		entry.hasNews ||= how.source !== 'node';
+		entry.sentSinceChange = 0;
+		entry.hasPendingChange ||= how.source !== 'node';
 	};
 
-	const fill = (life: string, entry: LimitEntry, now: number) => {
-		const share = shareOf(life, entry);
+	const fill = (incarnationId: string, entry: LimitEntry, now: number) => {
+		const share = shareOf(incarnationId, entry);
 		if (share) {
 			entry.bucket.fill(share, now);
 		}
 	};
 
 	return {
-		stated(life, statement, source) {
-			take(life, statement, {source}, statement.latest);
+		recordStatement(incarnationId, statement, source) {
+			take(incarnationId, statement, {source}, statement.latest);
 		},
-		hear({from, limits}, now) {
-			for (const {life, perSecond, earliestAgoMs, latestAgoMs} of limits) {
+		receive({from, limits}, now) {
+			for (const {
+				incarnationId,
+				perSecond,
+				earliestAgoMs,
+				latestAgoMs,
+			} of limits) {
 				// What was delayed on its way, or was read late, may be long over.
 				if (latestAgoMs > freshStatementMs) {
 					continue;
@@ -183,47 +198,52 @@
 				const earliest = now - earliestAgoMs - transitMs;
 				const latest = now - latestAgoMs;
 				const how = {source: 'node', from} as const;
-				take(life, {perSecond, earliest, latest}, how, now);
-				entries.said(life, perSecond, now);
+				take(incarnationId, {perSecond, earliest, latest}, how, now);
+				entries.recordPeerBroadcast(incarnationId, perSecond, now);
 			}
 		},
-		hasRoom(life, now) {
-			const entry = entries.get(life);
+		canSend(incarnationId, now) {
+			const entry = entries.get(incarnationId);
 			if (isOff || entry?.perSecond === undefined) {
 				return true;
 			}
 
-			fill(life, entry, now);
+			fill(incarnationId, entry, now);
 			const isThere = entry.bucket.canTake();
 			heldBack += isThere ? 0 : 1;
 			return isThere;
 		},
-		rateOf(life) {
-			const entry = entries.get(life);
-			return entry && !isOff ? shareOf(life, entry)?.perSecond : undefined;
+		rateOf(incarnationId) {
+			const entry = entries.get(incarnationId);
+			return entry && !isOff
+				? shareOf(incarnationId, entry)?.perSecond
+				: undefined;
 		},
-		readingPauseMs(life) {
-			const perSecond = entries.get(life)?.perSecond;
+		enginePollIntervalMs(incarnationId) {
+			const perSecond = entries.get(incarnationId)?.perSecond;
 			return perSecond === undefined || isOff
 				? 0
-				: Math.min(longestReadingPauseMs, 1000 / (perSecond * readingPart));
+				: Math.min(
+						maximumEnginePollIntervalMs,
+						1000 / (perSecond * enginePollFraction),
+					);
 		},
-		sent(life, now) {
-			const entry = entries.get(life);
+		recordSend(incarnationId, now) {
+			const entry = entries.get(incarnationId);
 			if (entry?.perSecond === undefined) {
 				return;
 			}
 
-			fill(life, entry, now);
+			fill(incarnationId, entry, now);
 			entry.bucket.take();
-			entry.sent += 1;
+			entry.sentSinceChange += 1;
 			sentToLimited += 1;
 		},
 		tick(now) {
-			entries.forgetOld(now);
+			entries.removeExpired(now);
 			// A node that comes to send to a server has not rested before.
-			for (const life of entries.lives()) {
-				fill(life, entries.get(life)!, now);
+			for (const incarnationId of entries.incarnationIds()) {
+				fill(incarnationId, entries.get(incarnationId)!, now);
 			}
 
 			if (isOff) {
@@ -232,8 +252,8 @@
 
 			broadcast.tick(now);
 		},
-		areThere: () => !isOff && entries.limited() > 0,
-		limitedServers: entries.limited,
+		hasAny: () => !isOff && entries.limitedCount() > 0,
+		limitedServers: entries.limitedCount,
 		sentToLimited: () => sentToLimited,
 		heldBack: () => heldBack,
 	};
--- a/src/backend-limits/limit-broadcast.ts
+++ b/src/backend-limits/limit-broadcast.ts
@@ -1,6 +1,6 @@
 import type {
 	BackendLimitMessage,
-	ToldLimit,
+	LimitUpdate,
 } from '../peers/backend-limit-messages.ts';
 import type {NodeOrder} from '../shared/index.ts';
 import type {LimitEntries, LimitEntry} from './limit-entries.ts';
@@ -27,7 +27,7 @@
 	/**
 	Tells all other nodes that send to the same servers.
 	*/
-	readonly tellPeers: (message: BackendLimitMessage) => void;
+	readonly sendToPeers: (message: BackendLimitMessage) => void;
 };
 
 /**
@@ -60,56 +60,56 @@
 	self,
 	entries,
 	order,
-	tellPeers,
+	sendToPeers,
 }: LimitBroadcastOptions): LimitBroadcast => {
 	const isDue = (
-		life: string,
-		{saidAt, hasNews}: LimitEntry,
+		incarnationId: string,
+		{lastBroadcastAt, hasPendingChange}: LimitEntry,
 		now: number,
 	): boolean => {
-		const silentMs = now - saidAt;
+		const silentMs = now - lastBroadcastAt;
 		const stepsMs =
-			Math.min(lastFailover, order.rank(life)) * broadcastFailoverMs;
+			Math.min(lastFailover, order.rank(incarnationId)) * broadcastFailoverMs;
 		return (
 			silentMs >=
-			(hasNews ? minimumBroadcastGapMs : broadcastIntervalMs + stepsMs)
+			(hasPendingChange ? minimumBroadcastGapMs : broadcastIntervalMs + stepsMs)
 		);
 	};
 
 	return {
 		tick(now) {
-			const limits: ToldLimit[] = [];
-			for (const life of entries.lives()) {
-				const entry = entries.get(life)!;
-				const told = isDue(life, entry, now)
-					? toldLimit(life, entry, now)
+			const limits: LimitUpdate[] = [];
+			for (const incarnationId of entries.incarnationIds()) {
+				const entry = entries.get(incarnationId)!;
+				const told = isDue(incarnationId, entry, now)
+					? toldLimit(incarnationId, entry, now)
 					: undefined;
 				if (!told) {
 					continue;
 				}
 
-				entry.hasNews = false;
-				entry.saidAt = now;
+				entry.hasPendingChange = false;
+				entry.lastBroadcastAt = now;
 				limits.push(told);
 			}
 
 			if (limits.length > 0) {
-				tellPeers({kind: 'backend-limits', from: self, limits});
+				sendToPeers({kind: 'backend-limits', from: self, limits});
 			}
 		},
 	};
 };
 
 const toldLimit = (
-	life: string,
+	incarnationId: string,
 	{statements}: LimitEntry,
 	now: number,
-): ToldLimit | undefined => {
+): LimitUpdate | undefined => {
 	const statement = lowestStatement(statements);
 	return statement === undefined || now - statement.latest > freshStatementMs
 		? undefined
 		: {
-				life,
+				incarnationId,
 				perSecond: statement.perSecond,
 				earliestAgoMs: now - statement.earliest,
 				latestAgoMs: now - statement.latest,
--- a/src/backend-limits/limit-entries.ts
+++ b/src/backend-limits/limit-entries.ts
@@ -19,15 +19,15 @@
 	/**
 	Requests of this node since the limit changed last.
 	*/
-	sent: number;
+	sentSinceChange: number;
 	/**
 	When this node or another one told the others last.
 	*/
-	saidAt: number;
+	lastBroadcastAt: number;
 	/**
 	Whether the server has told this node of a change that the others may not know.
 	*/
-	hasNews: boolean;
+	hasPendingChange: boolean;
 	endedAt: number | undefined;
 };
 
@@ -39,7 +39,7 @@
 	/**
 	Takes a statement in; undefined where the limit is the same as before.
 	*/
-	take(
+	record(
 		life: string,
 		given: LimitStatement,
 		now: number,
@@ -49,24 +49,28 @@
 	/**
 	Another node has told the others of a limit. Where this one knows better the others are still to be told.
 	*/
-	said(life: string, perSecond: number | undefined, now: number): void;
-	lives(): readonly string[];
+	recordPeerBroadcast(
+		life: string,
+		perSecond: number | undefined,
+		now: number,
+	): void;
+	incarnationIds(): readonly string[];
 	/**
 	Servers that have a limit now.
 	*/
-	limited(): number;
-	forgetOld(now: number): void;
+	limitedCount(): number;
+	removeExpired(now: number): void;
 };
 
 /**
 A limit that has ended is remembered for so long, in milliseconds, so that nodes that missed its end are told.
 */
-export const endedKeptMs = 20_000;
+export const endedLimitRetentionMs = 20_000;
 
 /**
 Retention of a limit without updates, in milliseconds. Longer than a live server needs to state it again.
 */
-export const silentKeptMs = 600_000;
+export const silentLimitRetentionMs = 600_000;
 
 /**
 Servers that are remembered at the most; the one that was heard of first gives way.
@@ -99,9 +103,9 @@
 			statements: [],
 			perSecond: undefined,
 			bucket: createTokenBucket(now),
-			sent: 0,
-			saidAt: -Infinity,
-			hasNews: false,
+			sentSinceChange: 0,
+			lastBroadcastAt: -Infinity,
+			hasPendingChange: false,
 			endedAt: undefined,
 		};
 		entries.set(life, entry);
@@ -110,12 +114,13 @@
 
 	const isOld = ({endedAt, statements}: LimitEntry, now: number): boolean =>
 		endedAt === undefined
-			? now - (lowestStatement(statements)?.latest ?? now) > silentKeptMs
-			: now - endedAt > endedKeptMs;
+			? now - (lowestStatement(statements)?.latest ?? now) >
+				silentLimitRetentionMs
+			: now - endedAt > endedLimitRetentionMs;
 
 	return {
 		get: (life) => entries.get(life),
-		take(life, given, now) {
+		record(life, given, now) {
 			// Most servers never name a limit, and nothing is kept of them.
 			if (given.perSecond === undefined && !entries.has(life)) {
 				return undefined;
@@ -135,18 +140,18 @@
 				(before === undefined ? 1 : 0) - (perSecond === undefined ? 1 : 0);
 			return {entry, before};
 		},
-		said(life, perSecond, now) {
+		recordPeerBroadcast(life, perSecond, now) {
 			const entry = entries.get(life);
 			if (!entry || entry.perSecond !== perSecond) {
 				return;
 			}
 
-			entry.saidAt = now;
-			entry.hasNews = false;
+			entry.lastBroadcastAt = now;
+			entry.hasPendingChange = false;
 		},
-		lives: () => entries.keys().toArray(),
-		limited: () => limited,
-		forgetOld(now) {
+		incarnationIds: () => entries.keys().toArray(),
+		limitedCount: () => limited,
+		removeExpired(now) {
 			for (const [life, entry] of entries) {
 				if (isOld(entry, now)) {
 					remove(life);
--- a/src/backend-limits/limit-log.ts
+++ b/src/backend-limits/limit-log.ts
@@ -8,7 +8,7 @@
 	/**
 	Names the life of the server.
 	*/
-	readonly life: string;
+	readonly incarnationId: string;
 	/**
 	Requests a second over all nodes; undefined for no limit.
 	*/
@@ -43,7 +43,7 @@
 Lines about one server are written so far apart at the least, in milliseconds: a server may name another limit in each
 answer.
 */
-export const limitLineEveryMs = 1000;
+export const limitLogIntervalMs = 1000;
 
 // Servers that are remembered for that; the oldest gives way.
 const maximumServers = 500;
@@ -55,24 +55,24 @@
 	const writtenAt = new Map<string, number>();
 
 	return {
-		changed({life, ageMs, ...change}, inputs, now) {
+		changed({incarnationId, ageMs, ...change}, inputs, now) {
 			const isNews =
 				change.before === undefined || change.perSecond === undefined;
 			if (
 				!isNews &&
-				now - (writtenAt.get(life) ?? -Infinity) < limitLineEveryMs
+				now - (writtenAt.get(incarnationId) ?? -Infinity) < limitLogIntervalMs
 			) {
 				return;
 			}
 
-			writtenAt.delete(life);
-			writtenAt.set(life, now);
+			writtenAt.delete(incarnationId);
+			writtenAt.set(incarnationId, now);
 			if (writtenAt.size > maximumServers) {
 				writtenAt.delete(writtenAt.keys().next().value!);
 			}
 
 			logger.info(
-				{server: life, ...change, ageMs: Math.round(ageMs), ...inputs},
+				{server: incarnationId, ...change, ageMs: Math.round(ageMs), ...inputs},
 				'limit of a backend server changed',
 			);
 		},
--- a/src/backend-limits/limit-share.ts
+++ b/src/backend-limits/limit-share.ts
@@ -12,7 +12,7 @@
 /**
 What a share is calculated from.
 */
-export type ShareView = {
+export type ShareInputs = {
 	/**
 	Place of this node in rendezvous order for the server, from 0.
 	*/
@@ -30,12 +30,12 @@
 /**
 Fraction of a limit for requests. The rest is left for health checks and for reading what engines keep.
 */
-export const requestPart = 0.9;
+export const requestFraction = 0.9;
 
 /**
 Fraction of a limit for reading what an engine keeps.
 */
-export const readingPart = 0.1;
+export const enginePollFraction = 0.1;
 
 /**
 Factor by which a node exceeds its share while some members are unreachable. Two sides of a partition together stay below 1.25
@@ -59,11 +59,11 @@
 */
 export const limitShare = (
 	perSecond: number,
-	{rank, nodes, reachableFraction}: ShareView,
+	{rank, nodes, reachableFraction}: ShareInputs,
 ): LimitShare => {
 	const whole =
 		perSecond *
-		requestPart *
+		requestFraction *
 		Math.min(1, reachableFraction * partitionOvercommit);
 	const senders = Math.min(nodes, Math.max(1, Math.floor(whole)));
 	if (rank >= senders) {
--- a/src/backend-limits/sender-nodes.ts
+++ b/src/backend-limits/sender-nodes.ts
@@ -26,18 +26,18 @@
 	/**
 	Whether a node can send to the servers that this one sends to.
 	*/
-	readonly isNear: (member: Member) => boolean;
+	readonly sharesServers: (member: Member) => boolean;
 	/**
 	When anything was last heard from any node.
 	*/
-	readonly lastHeard: () => number | undefined;
+	readonly lastReceivedAt: () => number | undefined;
 	readonly clock: () => number;
 };
 
 /**
 How long the share of a dead node stays reserved, in milliseconds: it may be partitioned and still sending.
 */
-export const deadCountsMs = 30_000;
+export const deadNodeReservationMs = 30_000;
 
 /**
 Fraction assumed by a node that has never heard another one: several may have started behind the same partition.
@@ -52,12 +52,12 @@
 */
 export const createSenderNodes = ({
 	others,
-	isNear,
-	lastHeard,
+	sharesServers,
+	lastReceivedAt,
 	clock,
 }: SenderNodesOptions): SenderNodes => {
 	const near = createDerived(others, (members) =>
-		members.filter((member) => isNear(member)),
+		members.filter((member) => sharesServers(member)),
 	);
 	const peers = createDerived(near, (members) =>
 		members.filter(({status}) => status === 'alive' || status === 'suspect'),
@@ -80,7 +80,7 @@
 		if (now - counted.at >= countEveryMs) {
 			const dead = times
 				.values()
-				.filter((at) => now - at < deadCountsMs)
+				.filter((at) => now - at < deadNodeReservationMs)
 				.toArray().length;
 			counted = {at: now, dead};
 		}
@@ -91,7 +91,7 @@
 	return {
 		peers,
 		reachableFraction() {
-			if (lastHeard() === undefined) {
+			if (lastReceivedAt() === undefined) {
 				return isolatedFraction;
 			}
 
--- a/src/backends/backend-attempt.ts
+++ b/src/backends/backend-attempt.ts
@@ -1,6 +1,6 @@
 import type {BackendLimits} from '../backend-limits/index.ts';
 import type {Placement} from './placement.ts';
-import {isCold, readingOf, type ServerState} from './server-state.ts';
+import {isCold, prefillBacklogOf, type ServerState} from './server-state.ts';
 import type {StatedLoad} from './stated-load.ts';
 
 /**
@@ -35,44 +35,44 @@
 	/**
 	To be called with each sign of life from the server.
 	*/
-	heard(now: number): void;
+	recordActivity(now: number): void;
 	/**
 	To be called with what the server says of its load.
 	*/
-	stated(load: StatedLoad, now: number): void;
+	recordStatedLoad(load: StatedLoad, now: number): void;
 	/**
 	To be called with each piece of a stream but the first, and the time since the one before.
 	*/
-	paced(intervalMs: number, now: number): void;
+	recordChunkInterval(intervalMs: number, now: number): void;
 	/**
 	To be called when the first event or the answer is there.
 	*/
-	started(now: number): void;
+	recordFirstEvent(now: number): void;
 	end(how: BackendAttemptEnd, now: number): void;
 };
 
 /**
 Tells the other nodes of the region how many tokens of this node's long prompts a server has still to read.
 */
-export type ReadingTeller = (server: string, tokens: number) => void;
+export type PrefillBacklogSender = (server: string, tokens: number) => void;
 
 /**
 What attempts are counted with.
 */
 export type AttemptOptions = {
-	readonly tellReading: ReadingTeller;
+	readonly sendPrefillBacklog: PrefillBacklogSender;
 	/**
 	Whether a server is known to keep a prompt part in its memory.
 	*/
-	readonly keeps: (server: string, part: string) => boolean;
-	readonly backendLimits: Pick<BackendLimits, 'sent'>;
+	readonly isCached: (server: string, part: string) => boolean;
+	readonly backendLimits: Pick<BackendLimits, 'recordSend'>;
 };
 
 /**
 A prompt with fewer tokens to read is not told: it delays the requests behind it by some tens of milliseconds, and there
 are many of them.
 */
-export const fewestToldTokens = 2500;
+export const minimumBroadcastTokens = 2500;
 
 // Weight of one more outcome in a server's failure rate.
 const failureWeight = 0.1;
@@ -90,30 +90,30 @@
 	state: ServerState,
 	placement: Placement,
 	now: number,
-	{tellReading: tell, keeps, backendLimits}: AttemptOptions,
+	{sendPrefillBacklog: tell, isCached, backendLimits}: AttemptOptions,
 ): BackendAttempt => {
 	const tellMore = (more: number) => {
 		if (more === 0) {
 			return;
 		}
 
-		state.toldTokens += more;
-		tell(state.known.server.id, state.toldTokens);
+		state.broadcastTokens += more;
+		tell(state.known.server.id, state.broadcastTokens);
 	};
 
-	backendLimits.sent(state.life, now);
+	backendLimits.recordSend(state.incarnationId, now);
 	const waiting = {since: now};
-	const tokens = tokensToRead(state, placement, keeps);
-	const toldTokens = tokens >= fewestToldTokens ? tokens : 0;
-	const hadNothingToRead = readingOf(state, now) === 0;
+	const tokens = tokensToRead(state, placement, isCached);
+	const toldTokens = tokens >= minimumBroadcastTokens ? tokens : 0;
+	const hadNothingToRead = prefillBacklogOf(state, now) === 0;
 	state.inFlight += 1;
-	state.suspects += placement.isIsolated ? 1 : 0;
-	state.ownOfService.add(1, now);
+	state.crashSuspects += placement.isIsolated ? 1 : 0;
+	state.serviceInFlight.add(1, now);
 	state.pendingTokens += tokens;
 	state.pending.add(waiting);
 	tellMore(toldTokens);
 	if (placement.sharedPart) {
-		state.memory.use(placement.sharedPart);
+		state.promptCache.use(placement.sharedPart);
 	}
 
 	if (isCold(state, now)) {
@@ -132,23 +132,24 @@
 
 	return {
 		server: state.known.server.id,
-		heard(at) {
-			state.lastHeardAt = at;
+		recordActivity(at) {
+			state.lastActivityAt = at;
 		},
-		stated(load, at) {
-			state.stated = {
+		recordStatedLoad(load, at) {
+			state.statedLoad = {
 				others: Math.max(0, load.running + load.waiting - state.inFlight),
 				at,
 			};
 		},
-		paced(intervalMs, at) {
-			state.paceMs += (intervalMs - state.paceMs) * paceWeight;
-			state.pacedAt = at;
+		recordChunkInterval(intervalMs, at) {
+			state.chunkIntervalMs +=
+				(intervalMs - state.chunkIntervalMs) * paceWeight;
+			state.chunkIntervalAt = at;
 		},
-		started(at) {
-			state.lastHeardAt = at;
+		recordFirstEvent(at) {
+			state.lastActivityAt = at;
 			if (hadNothingToRead && state.pending.has(waiting)) {
-				state.readingSpeed.note(tokens, at - now);
+				state.prefillSpeed.record(tokens, at - now);
 			}
 
 			settle();
@@ -161,10 +162,10 @@
 			isEnded = true;
 			settle();
 			state.inFlight -= 1;
-			state.suspects -= placement.isIsolated ? 1 : 0;
-			state.ownOfService.add(-1, at);
+			state.crashSuspects -= placement.isIsolated ? 1 : 0;
+			state.serviceInFlight.add(-1, at);
 			if (how === 'answered' || how === 'refused') {
-				state.lastHeardAt = at;
+				state.lastActivityAt = at;
 			}
 
 			noteEnd(state, how);
@@ -173,12 +174,12 @@
 };
 
 const tokensToRead = (
-	{memory, known}: ServerState,
+	{promptCache, known}: ServerState,
 	{promptTokens, sharedPart}: Placement,
-	keeps: AttemptOptions['keeps'],
+	isCached: AttemptOptions['isCached'],
 ): number =>
 	sharedPart &&
-	(memory.has(sharedPart.id) || keeps(known.server.id, sharedPart.id))
+	(promptCache.has(sharedPart.id) || isCached(known.server.id, sharedPart.id))
 		? promptTokens - sharedPart.tokens
 		: promptTokens;
 
--- a/src/backends/backend-fleet.ts
+++ b/src/backends/backend-fleet.ts
@@ -1,17 +1,17 @@
 import type {KnownServer} from '../registry/index.ts';
-import {heldByOthers, believedLoad} from './believed-load.ts';
+import {estimatedPeerRequests, estimatedLoad} from './estimated-load.ts';
 import {beginAttempt, type BackendAttempt} from './backend-attempt.ts';
 import {chooseServer, type LocalChoice} from './choose-server.ts';
 import type {Placement} from './placement.ts';
 import type {ServerChoiceOptions} from './server-choice-options.ts';
-import {createReadingSpeed, type ReadingSpeed} from './reading-speed.ts';
+import {createPrefillSpeed, type PrefillSpeed} from './prefill-speed.ts';
 import {createSmoothedCount, type SmoothedCount} from './smoothed-count.ts';
 import {
 	createServerState,
-	doubtMs,
-	longestSilenceMs,
+	probeAnswerDeadlineMs,
+	maximumSilenceMs,
 	shiftTimes,
-	silenceMs,
+	silenceThresholdMs,
 	silentFor,
 	type ServerState,
 } from './server-state.ts';
@@ -24,7 +24,7 @@
 /**
 What another node says of one server.
 */
-export type PeerReading = {
+export type PrefillBacklogReport = {
 	/**
 	One life of the node.
 	*/
@@ -65,19 +65,19 @@
 	/**
 	Takes in a health answer; without remaining cold time the health check failed.
 	*/
-	probed(id: string, coldMs: number | undefined, now: number): void;
+	recordProbeResult(id: string, coldMs: number | undefined, now: number): void;
 	/**
 	The server answered a question for its health, whatever it said.
 	*/
-	vouched(id: string, now: number): void;
+	recordProbeAnswer(id: string, now: number): void;
 	/**
 	Another node of the region has told how many tokens of its long prompts a server has still to read.
 	*/
-	heardReading(reading: PeerReading, now: number): void;
+	recordPeerPrefillBacklog(reading: PrefillBacklogReport, now: number): void;
 	/**
 	Takes it that servers may have turned cold; they are asked before they get their full share.
 	*/
-	distrust(ids: readonly string[]): void;
+	markPossiblyCold(ids: readonly string[]): void;
 	/**
 	A connection to the server could not be had, or its silence was noticed.
 	*/
@@ -86,7 +86,7 @@
 	The machine was suspended, or the clock leapt: what servers owe, and how cold they are, is counted by the time in
 	which this node could see it.
 	*/
-	slept(ms: number): void;
+	shiftClock(ms: number): void;
 	isSuspect(id: string): boolean;
 	loadOf(service: string, now: number): ServiceLoad;
 	ids(): readonly string[];
@@ -110,13 +110,13 @@
 ): BackendFleet => {
 	const states = new Map<string, ServerState>();
 	const ownByService = new Map<string, SmoothedCount>();
-	const speedByService = new Map<string, ReadingSpeed>();
+	const speedByService = new Map<string, PrefillSpeed>();
 
 	const memoryTokensOf = ({server}: KnownServer): number =>
 		options.service(server.service)?.engine?.memoryTokens ?? 0;
 
-	const speedOf = (service: string): ReadingSpeed => {
-		const known = speedByService.get(service) ?? createReadingSpeed();
+	const speedOf = (service: string): PrefillSpeed => {
+		const known = speedByService.get(service) ?? createPrefillSpeed();
 		speedByService.set(service, known);
 		return known;
 	};
@@ -134,7 +134,7 @@
 		}
 
 		state.isSuspect = true;
-		state.doubtedAt = undefined;
+		state.probingSince = undefined;
 		state.probedAt = now;
 	};
 
@@ -158,8 +158,8 @@
 				states.set(
 					id,
 					createServerState(known, memoryTokensOf(known), now, {
-						ownOfService: ownOf(known.server.service),
-						readingSpeed: speedOf(known.server.service),
+						serviceInFlight: ownOf(known.server.service),
+						prefillSpeed: speedOf(known.server.service),
 					}),
 				);
 				if (state) {
@@ -192,12 +192,12 @@
 			const due = [...states].filter(
 				([, state]) =>
 					(state.isSuspect ||
-						state.isDistrusted ||
-						state.doubtedAt !== undefined) &&
+						state.isPossiblyCold ||
+						state.probingSince !== undefined) &&
 					now - state.probedAt >= probeIntervalMs &&
-					options.rests.leftMs(state.life, now) === 0 &&
+					options.backoffs.remainingMs(state.incarnationId, now) === 0 &&
 					// Health checks of all nodes would go beyond a limit by themselves.
-					options.backendLimits.hasRoom(state.life, now),
+					options.backendLimits.canSend(state.incarnationId, now),
 			);
 			for (const [, state] of due) {
 				state.probedAt = now;
@@ -205,42 +205,44 @@
 
 			return due.map(([id]) => id);
 		},
-		probed(id, coldMs, now) {
+		recordProbeResult(id, coldMs, now) {
 			const state = states.get(id);
 			if (!state || coldMs === undefined) {
 				return;
 			}
 
 			state.isSuspect = false;
-			state.isDistrusted = false;
-			state.lastHeardAt = now;
+			state.isPossiblyCold = false;
+			state.lastActivityAt = now;
 			state.known = {
 				...state.known,
 				coldUntil: Math.max(state.known.coldUntil, now + coldMs),
 			};
 		},
-		vouched(id, now) {
+		recordProbeAnswer(id, now) {
 			const state = states.get(id);
 			if (!state) {
 				return;
 			}
 
-			state.vouchedAt = now;
-			state.doubtedAt = undefined;
+			state.lastProbeAnswerAt = now;
+			state.probingSince = undefined;
 		},
-		heardReading({from, server, tokens, sequence}, now) {
-			states.get(server)?.othersReading.hear(from, tokens, sequence, now);
+		recordPeerPrefillBacklog({from, server, tokens, sequence}, now) {
+			states
+				.get(server)
+				?.peerPrefillBacklog.record(from, tokens, sequence, now);
 		},
-		distrust(ids) {
+		markPossiblyCold(ids) {
 			for (const id of ids) {
 				const state = states.get(id);
 				if (state) {
-					state.isDistrusted = true;
+					state.isPossiblyCold = true;
 				}
 			}
 		},
 		suspect,
-		slept(ms) {
+		shiftClock(ms) {
 			for (const state of states.values()) {
 				shiftTimes(state, ms);
 			}
@@ -255,7 +257,7 @@
 				)
 				.toArray();
 			const nodes = options.nodesServing();
-			const others = heldByOthers(
+			const others = estimatedPeerRequests(
 				ownOf(service).mean(now),
 				nodes,
 				usable.length,
@@ -266,9 +268,9 @@
 				const own = state.known.server.slots;
 				// A limited or resting server has no room to offer to other regions.
 				const isUsedUp =
-					options.backendLimits.rateOf(state.life) !== undefined ||
-					options.rests.leftMs(state.life, now) > 0;
-				const held = believedLoad(state, nodes, now, {others});
+					options.backendLimits.rateOf(state.incarnationId) !== undefined ||
+					options.backoffs.remainingMs(state.incarnationId, now) > 0;
+				const held = estimatedLoad(state, nodes, now, {others});
 				load += isUsedUp ? Math.max(held, own) : held;
 				slots += own;
 			}
@@ -285,18 +287,21 @@
 // A silent server is doubted, and found silent in earnest when it does not vouch for itself.
 const isFoundSilent = (state: ServerState, now: number): boolean => {
 	const silence = silentFor(state, now);
-	if (silence <= silenceMs) {
-		state.doubtedAt = undefined;
+	if (silence <= silenceThresholdMs) {
+		state.probingSince = undefined;
 		return false;
 	}
 
-	if (silence > longestSilenceMs) {
+	if (silence > maximumSilenceMs) {
 		return true;
 	}
 
-	if (now - state.vouchedAt > silenceMs) {
-		state.doubtedAt ??= now;
+	if (now - state.lastProbeAnswerAt > silenceThresholdMs) {
+		state.probingSince ??= now;
 	}
 
-	return state.doubtedAt !== undefined && now - state.doubtedAt >= doubtMs;
+	return (
+		state.probingSince !== undefined &&
+		now - state.probingSince >= probeAnswerDeadlineMs
+	);
 };
--- a/src/backends/choose-server.ts
+++ b/src/backends/choose-server.ts
@@ -1,10 +1,10 @@
 import {coldShare, isWithinColdShare, type ColdBound} from './cold-limit.ts';
 import type {Placement} from './placement.ts';
 import {
-	comparedLoads,
-	fullnessOf,
-	rereadCosts,
-	sharersOf,
+	estimatedLoads,
+	utilizationOf,
+	prefillCosts,
+	sharingNodesOf,
 	stateCost,
 } from './server-cost.ts';
 import type {ServerChoiceOptions} from './server-choice-options.ts';
@@ -35,7 +35,7 @@
 			/**
 			Given where all of them rest: milliseconds until the first of them may be sent a request.
 			*/
-			readonly restLeftMs?: number;
+			readonly backoffRemainingMs?: number;
 	  }
 	| {readonly kind: 'none'};
 
@@ -71,12 +71,12 @@
 	}
 
 	// Asked once: it counts all nodes of the region, and there may be as many servers as nodes.
-	const sharers = sharersOf(placement, options.nodesServing());
-	const rereadCostOf = rereadCosts(options, candidates, placement, now);
-	const loadOf = comparedLoads(options, candidates, placement, now);
+	const sharers = sharingNodesOf(placement, options.nodesServing());
+	const rereadCostOf = prefillCosts(options, candidates, placement, now);
+	const loadOf = estimatedLoads(options, candidates, placement, now);
 	let best: {readonly state: ServerState; readonly cost: number} | undefined;
 	for (const state of candidates) {
-		const fullness = fullnessOf(options, state, sharers, now);
+		const fullness = utilizationOf(options, state, sharers, now);
 		const load = loadOf(state, fullness);
 		if (
 			fullness > 1 ||
@@ -91,7 +91,7 @@
 			load +
 			stateCost(options, state, now) +
 			rereadCostOf(state) +
-			options.draw() * alikeCost;
+			options.randomFraction() * alikeCost;
 		if (!best || cost < best.cost) {
 			best = {state, cost};
 		}
@@ -109,30 +109,35 @@
 	!isSuspect && server.service === service && !excluded.has(server.id);
 
 const isAwake = (
-	{rests}: ServerChoiceOptions,
-	{life, inFlight}: ServerState,
+	{backoffs}: ServerChoiceOptions,
+	{incarnationId, inFlight}: ServerState,
 	now: number,
-): boolean => !rests.areThere() || rests.hasRoom(life, inFlight, now);
+): boolean =>
+	!backoffs.hasAny() || backoffs.canSend(incarnationId, inFlight, now);
 
 const fullOfResting = (
-	{rests}: ServerChoiceOptions,
+	{backoffs}: ServerChoiceOptions,
 	fit: readonly ServerState[],
 	now: number,
 ): LocalChoice => {
-	const restLeftMs = Math.min(...fit.map(({life}) => rests.leftMs(life, now)));
-	return restLeftMs > 0 ? {kind: 'full', restLeftMs} : {kind: 'full'};
+	const backoffRemainingMs = Math.min(
+		...fit.map(({incarnationId}) => backoffs.remainingMs(incarnationId, now)),
+	);
+	return backoffRemainingMs > 0
+		? {kind: 'full', backoffRemainingMs}
+		: {kind: 'full'};
 };
 
 const isWithinLimit = (
 	{backendLimits}: ServerChoiceOptions,
-	{life}: ServerState,
-	{isOutranked}: Placement,
+	{incarnationId}: ServerState,
+	{hasMoreUrgentWaiter}: Placement,
 	now: number,
 ): boolean =>
-	!backendLimits.areThere() ||
-	(isOutranked === true
-		? backendLimits.rateOf(life) === undefined
-		: backendLimits.hasRoom(life, now));
+	!backendLimits.hasAny() ||
+	(hasMoreUrgentWaiter === true
+		? backendLimits.rateOf(incarnationId) === undefined
+		: backendLimits.canSend(incarnationId, now));
 
 // Those without a limit are always candidates, so all that are fit have one.
 const fullOfLimited = (
@@ -140,8 +145,8 @@
 	fit: readonly ServerState[],
 ): LocalChoice => {
 	let perSecond = 0;
-	for (const {life} of fit) {
-		perSecond += backendLimits.rateOf(life) ?? 0;
+	for (const {incarnationId} of fit) {
+		perSecond += backendLimits.rateOf(incarnationId) ?? 0;
 	}
 
 	return {kind: 'full', perSecond};
@@ -150,9 +155,9 @@
 // Of two requests that were at the same crashes none can be told to have caused them. Tried apart from each other, the one
 // that crashes servers is found sooner, and fewer that merely shared them are lost.
 const isFreeOfSuspects = (
-	{suspects}: ServerState,
+	{crashSuspects}: ServerState,
 	{isIsolated}: Placement,
-): boolean => !isIsolated || suspects === 0;
+): boolean => !isIsolated || crashSuspects === 0;
 
 const hasColdRoom = (
 	options: ServerChoiceOptions,
@@ -167,7 +172,7 @@
 	const share = coldShare(
 		bound,
 		options.senderRank(state.known.server.id),
-		options.nodesEverHeard().length,
+		options.knownNodes().length,
 	);
 	return (
 		options.mayUseCold(now) && isWithinColdShare(state.coldSentAt, share, now)
--- a/src/backends/cold-limit.ts
+++ b/src/backends/cold-limit.ts
@@ -16,7 +16,7 @@
 /**
 Part of the bound that is used; the rest covers nodes that another has not heard of yet.
 */
-export const usedPart = 0.75;
+export const usedFraction = 0.75;
 
 /**
 The most nodes that send to one cold backend server. With more, each one's share would be less than
@@ -45,7 +45,7 @@
 	nodes: number,
 ): number => {
 	const whole = bound.requestsPerSecond * bound.overrun + bound.slack;
-	const used = Math.max(whole * usedPart, Math.min(1, Math.floor(whole)));
+	const used = Math.max(whole * usedFraction, Math.min(1, Math.floor(whole)));
 	const senders = Math.min(nodes, maximumColdSenders, Math.floor(used));
 	return rank < senders ? Math.floor(used / senders) : 0;
 };
--- a/src/backends/believed-load.ts
+++ b/src/backends/estimated-load.ts
@@ -4,7 +4,7 @@
 How long a server's statement of its load says something, in milliseconds: about as long as the streams
 last that it counted. It counts for less the older it is.
 */
-export const statementTrustMs = 3000;
+export const statedLoadMaximumAgeMs = 3000;
 
 /**
 What a load is reckoned with beside what is known of the server.
@@ -13,7 +13,7 @@
 	/**
 	Requests of this node beyond those that are under way.
 	*/
-	readonly more?: number;
+	readonly additional?: number;
 	/**
 	Requests that the other nodes hold; as many each as this one where it is not given.
 	*/
@@ -31,21 +31,21 @@
 @param now This node's clock, in milliseconds.
 @param assumptions What is taken for granted.
 */
-export const believedLoad = (
+export const estimatedLoad = (
 	state: ServerState,
 	sharers: number,
 	now: number,
 	assumptions: LoadAssumptions = {},
 ): number => {
-	const {inFlight, stated} = state;
-	const own = inFlight + (assumptions.more ?? 0);
+	const {inFlight, statedLoad} = state;
+	const own = inFlight + (assumptions.additional ?? 0);
 	const others = assumptions.others ?? own * (sharers - 1);
-	if (!stated) {
+	if (!statedLoad) {
 		return own + others;
 	}
 
-	const trust = Math.max(0, 1 - (now - stated.at) / statementTrustMs);
-	return own + stated.others * trust + others * (1 - trust);
+	const trust = Math.max(0, 1 - (now - statedLoad.at) / statedLoadMaximumAgeMs);
+	return own + statedLoad.others * trust + others * (1 - trust);
 };
 
 /**
@@ -59,7 +59,7 @@
 @param nodes Nodes that send to the servers, this one included.
 @param servers Servers of the service.
 */
-export const heldByOthers = (
+export const estimatedPeerRequests = (
 	mean: number,
 	nodes: number,
 	servers: number,
--- a/src/backends/index.ts
+++ b/src/backends/index.ts
@@ -1,13 +1,13 @@
 export * from './upstream-client.ts';
 export * from './cold-limit.ts';
-export * from './prompt-memory.ts';
+export * from './prompt-cache-estimate.ts';
 export type * from './placement.ts';
 export * from './server-state.ts';
 export * from './stated-load.ts';
 export * from './smoothed-count.ts';
-export * from './others-reading.ts';
-export * from './reading-speed.ts';
-export * from './believed-load.ts';
+export * from './peer-prefill-backlog.ts';
+export * from './prefill-speed.ts';
+export * from './estimated-load.ts';
 export * from './backend-attempt.ts';
 export type * from './server-choice-options.ts';
 export * from './choose-server.ts';
--- a/src/backends/others-reading.ts
+++ b/src/backends/peer-prefill-backlog.ts
@@ -1,11 +1,11 @@
 /**
 Tokens of long prompts that other nodes sent to one server and that are still to be read, as they told it.
 */
-export type OthersReading = {
+export type PeerPrefillBacklog = {
 	/**
 	Takes in what a node says; what it said before, or says in an earlier message that comes later, does not count.
 	*/
-	hear(node: string, tokens: number, sequence: number, now: number): void;
+	record(node: string, tokens: number, sequence: number, now: number): void;
 	/**
 	The sum over all nodes.
 	*/
@@ -16,7 +16,7 @@
 How long a node's word counts, in milliseconds: longer than engines take to come to a prompt, and short enough that the
 word that a prompt is read, where it was lost, is not missed for long.
 */
-export const readingTrustMs = 3000;
+export const prefillBacklogMaximumAgeMs = 3000;
 
 type Word = {
 	readonly tokens: number;
@@ -27,11 +27,11 @@
 /**
 Builds what was told nothing.
 */
-export const createOthersReading = (): OthersReading => {
+export const createPeerPrefillBacklog = (): PeerPrefillBacklog => {
 	const words = new Map<string, Word>();
 
 	return {
-		hear(node, tokens, sequence, now) {
+		record(node, tokens, sequence, now) {
 			const known = words.get(node);
 			if (known && known.sequence >= sequence) {
 				return;
@@ -42,7 +42,7 @@
 		tokens(now) {
 			let sum = 0;
 			for (const [node, {tokens, heardAt}] of words) {
-				if (now - heardAt > readingTrustMs) {
+				if (now - heardAt > prefillBacklogMaximumAgeMs) {
 					words.delete(node);
 				} else {
 					sum += tokens;
--- a/src/backends/placement.ts
+++ b/src/backends/placement.ts
@@ -23,5 +23,5 @@
 	/**
 	Whether a more urgent request waits for room: what limited servers take is left to that one.
 	*/
-	readonly isOutranked?: boolean;
+	readonly hasMoreUrgentWaiter?: boolean;
 };
--- a/src/backends/reading-speed.ts
+++ b/src/backends/prefill-speed.ts
@@ -1,11 +1,11 @@
 /**
 How fast the engines of a service read prompts, as this node saw it.
 */
-export type ReadingSpeed = {
+export type PrefillSpeed = {
 	/**
 	An engine that had nothing else to read began to answer a prompt.
 	*/
-	note(tokens: number, milliseconds: number): void;
+	record(tokens: number, milliseconds: number): void;
 	/**
 	Tokens in a millisecond; undefined before any prompt was seen.
 	*/
@@ -15,7 +15,7 @@
 /**
 A prompt of fewer tokens says little of the speed: the way and the wait for a step take as long as its reading.
 */
-export const fewestTokensSeen = 2500;
+export const minimumSampleTokens = 2500;
 
 // Weight of one more prompt.
 const speedWeight = 0.2;
@@ -23,12 +23,12 @@
 /**
 Builds a speed that is not known yet.
 */
-export const createReadingSpeed = (): ReadingSpeed => {
+export const createPrefillSpeed = (): PrefillSpeed => {
 	let speed: number | undefined;
 
 	return {
-		note(tokens, milliseconds) {
-			if (tokens < fewestTokensSeen || milliseconds <= 0) {
+		record(tokens, milliseconds) {
+			if (tokens < minimumSampleTokens || milliseconds <= 0) {
 				return;
 			}
 
--- a/src/backends/prompt-memory.ts
+++ b/src/backends/prompt-cache-estimate.ts
@@ -1,7 +1,7 @@
 /**
 What one engine is believed to keep of shared prompt parts, by what this node sent it.
 */
-export type PromptMemory = {
+export type PromptCacheEstimate = {
 	has(part: string): boolean;
 	/**
 	Enters a part as used last; the parts unused for longest give way.
@@ -15,7 +15,9 @@
 /**
 Builds an empty memory for an engine that holds so many tokens.
 */
-export const createPromptMemory = (engineTokens: number): PromptMemory => {
+export const createPromptCacheEstimate = (
+	engineTokens: number,
+): PromptCacheEstimate => {
 	// A map keeps its keys in the order of their entry: the first is the one unused for longest.
 	const parts = new Map<string, number>();
 	let kept = 0;
--- a/src/backends/server-choice-options.ts
+++ b/src/backends/server-choice-options.ts
@@ -1,19 +1,19 @@
-import type {Without} from '../mechanisms/index.ts';
+import type {DisabledMechanisms} from '../mechanisms/index.ts';
 import type {Service} from '../routes/index.ts';
 import type {BackendLimits} from '../backend-limits/index.ts';
-import type {ServerRests} from '../server-statements/server-rests.ts';
-import type {ReadingTeller} from './backend-attempt.ts';
+import type {ServerBackoffs} from '../server-statements/server-backoffs.ts';
+import type {PrefillBacklogSender} from './backend-attempt.ts';
 
 /**
 What servers are chosen by.
 */
 export type ServerChoiceOptions = {
-	readonly without: Without;
+	readonly without: DisabledMechanisms;
 	readonly availabilityZone: string;
 	/**
 	Ids of all nodes of the region that were ever heard of, this one included.
 	*/
-	readonly nodesEverHeard: () => readonly string[];
+	readonly knownNodes: () => readonly string[];
 	/**
 	How many of them go before this one in the order for a server.
 	*/
@@ -32,24 +32,24 @@
 	/**
 	Whether a server is known to keep a prompt part in its memory.
 	*/
-	readonly keeps: (server: string, part: string) => boolean;
+	readonly isCached: (server: string, part: string) => boolean;
 	/**
 	Tells the other nodes of the region what a server has still to read of this node's long prompts.
 	*/
-	readonly tellReading: ReadingTeller;
+	readonly sendPrefillBacklog: PrefillBacklogSender;
 	/**
 	The limits that servers name.
 	*/
 	readonly backendLimits: Pick<
 		BackendLimits,
-		'areThere' | 'hasRoom' | 'rateOf' | 'sent'
+		'hasAny' | 'canSend' | 'rateOf' | 'recordSend'
 	>;
 	/**
 	The rests that servers asked this node for.
 	*/
-	readonly rests: Pick<ServerRests, 'leftMs' | 'hasRoom' | 'areThere'>;
+	readonly backoffs: Pick<ServerBackoffs, 'remainingMs' | 'canSend' | 'hasAny'>;
 	/**
 	A number from 0 to 1, by which nodes choose differently among servers that look alike.
 	*/
-	readonly draw: () => number;
+	readonly randomFraction: () => number;
 };
--- a/src/backends/server-cost.ts
+++ b/src/backends/server-cost.ts
@@ -1,8 +1,8 @@
 import {rendezvousFirst} from '../shared/index.ts';
-import {believedLoad, heldByOthers} from './believed-load.ts';
+import {estimatedLoad, estimatedPeerRequests} from './estimated-load.ts';
 import type {Placement} from './placement.ts';
 import type {ServerChoiceOptions} from './server-choice-options.ts';
-import {readingOf, silentFor, type ServerState} from './server-state.ts';
+import {prefillBacklogOf, silentFor, type ServerState} from './server-state.ts';
 
 // Requests that all nodes together hold at a server, by its slots: engines queue what does not
 // fit their batch at little cost, plain servers answer it later.
@@ -47,7 +47,7 @@
 /**
 How many nodes share the room of a server for a request.
 */
-export const sharersOf = (
+export const sharingNodesOf = (
 	{sharedPart}: Placement,
 	nodesServing: number,
 ): number =>
@@ -57,7 +57,7 @@
 The part of the room of a server that is taken once it has one more request of this node, with each node
 keeping to an equal share of it; beyond 1 there is none left.
 */
-export const fullnessOf = (
+export const utilizationOf = (
 	options: ServerChoiceOptions,
 	state: ServerState,
 	sharers: number,
@@ -65,7 +65,7 @@
 ): number => {
 	const room =
 		Math.max(1, Math.ceil(wholeRoom(options, state) / sharers)) * sharers;
-	return believedLoad(state, sharers, now, {more: 1}) / room;
+	return estimatedLoad(state, sharers, now, {additional: 1}) / room;
 };
 
 /**
@@ -74,7 +74,7 @@
 
 A node among many that took its one request for as many as there are nodes would send to other regions without need.
 */
-export const comparedLoads = (
+export const estimatedLoads = (
 	options: ServerChoiceOptions,
 	candidates: readonly ServerState[],
 	{sharedPart}: Placement,
@@ -87,10 +87,10 @@
 	}
 
 	const nodes = options.nodesServing();
-	const mean = candidates[0]?.ownOfService.mean(now) ?? 0;
-	const others = heldByOthers(mean, nodes, candidates.length);
+	const mean = candidates[0]?.serviceInFlight.mean(now) ?? 0;
+	const others = estimatedPeerRequests(mean, nodes, candidates.length);
 	return (state) =>
-		believedLoad(state, nodes, now, {more: 1, others}) /
+		estimatedLoad(state, nodes, now, {additional: 1, others}) /
 		wholeRoom(options, state);
 };
 
@@ -114,7 +114,7 @@
 		: otherZoneCost) +
 	(options.without.has('reading-cost')
 		? 0
-		: readingOf(state, now) / promptTokensOfFull) +
+		: prefillBacklogOf(state, now) / promptTokensOfFull) +
 	(options.without.has('pace') ? 0 : paceOf(state, now) / paceOfFull) +
 	(options.without.has('failure-cost') ? 0 : state.failureRate * failureCost);
 
@@ -122,8 +122,8 @@
 What reading the shared part of a prompt counts for at each server. What this node sent lately counts as
 kept, for engines tell of their memory late.
 */
-export const rereadCosts = (
-	{keeps, without}: ServerChoiceOptions,
+export const prefillCosts = (
+	{isCached, without}: ServerChoiceOptions,
 	candidates: readonly ServerState[],
 	placement: Placement,
 	now: number,
@@ -135,8 +135,8 @@
 
 	const {id, tokens} = sharedPart;
 	const readCost = tokens / promptTokensOfFull;
-	const isKeeper = ({known, memory}: ServerState) =>
-		keeps(known.server.id, id) || memory.has(id);
+	const isKeeper = ({known, promptCache}: ServerState) =>
+		isCached(known.server.id, id) || promptCache.has(id);
 	const keepers = new Set(candidates.filter((state) => isKeeper(state)));
 	if (keepers.size > 0) {
 		const isKeeperInTime =
@@ -157,16 +157,16 @@
 	{sharedPart, promptTokens, targetMs}: Placement,
 	now: number,
 ): boolean => {
-	const speed = state.readingSpeed.tokensPerMs();
+	const speed = state.prefillSpeed.tokensPerMs();
 	const tokens =
-		readingOf(state, now) + promptTokens - (sharedPart?.tokens ?? 0);
+		prefillBacklogOf(state, now) + promptTokens - (sharedPart?.tokens ?? 0);
 	return speed === undefined || tokens / speed <= targetMs * inTimePart;
 };
 
 // Without streams to tell it by, a server's pace is taken to get better; one that owes answers has no better
 // pace than the silence that it has kept.
 const paceOf = (state: ServerState, now: number): number => {
-	const {paceMs, pacedAt} = state;
-	const trust = Math.max(0, 1 - (now - pacedAt) / paceTrustMs);
-	return Math.max(paceMs * trust, silentFor(state, now));
+	const {chunkIntervalMs, chunkIntervalAt} = state;
+	const trust = Math.max(0, 1 - (now - chunkIntervalAt) / paceTrustMs);
+	return Math.max(chunkIntervalMs * trust, silentFor(state, now));
 };
--- a/src/backends/server-state.ts
+++ b/src/backends/server-state.ts
@@ -1,7 +1,13 @@
-import {lifeOf, type KnownServer} from '../registry/index.ts';
-import {createOthersReading, type OthersReading} from './others-reading.ts';
-import {createPromptMemory, type PromptMemory} from './prompt-memory.ts';
-import {createReadingSpeed, type ReadingSpeed} from './reading-speed.ts';
+import {incarnationIdOf, type KnownServer} from '../registry/index.ts';
+import {
+	createPeerPrefillBacklog,
+	type PeerPrefillBacklog,
+} from './peer-prefill-backlog.ts';
+import {
+	createPromptCacheEstimate,
+	type PromptCacheEstimate,
+} from './prompt-cache-estimate.ts';
+import {createPrefillSpeed, type PrefillSpeed} from './prefill-speed.ts';
 import {createSmoothedCount, type SmoothedCount} from './smoothed-count.ts';
 
 /**
@@ -12,7 +18,7 @@
 	/**
 	Names the life of the server.
 	*/
-	readonly life: string;
+	readonly incarnationId: string;
 	/**
 	Requests of this node that are under way at it.
 	*/
@@ -20,20 +26,20 @@
 	/**
 	Those among them that were at a server that crashed.
 	*/
-	suspects: number;
+	crashSuspects: number;
 	/**
 	This node's requests that are under way at all servers of the service.
 	*/
-	readonly ownOfService: SmoothedCount;
+	readonly serviceInFlight: SmoothedCount;
 	/**
 	Requests of other nodes by what the server said last, and when it said so.
 	*/
-	stated: {readonly others: number; readonly at: number} | undefined;
+	statedLoad: {readonly others: number; readonly at: number} | undefined;
 	/**
 	Milliseconds between two pieces of a stream of this server, the latest ones counting most.
 	*/
-	paceMs: number;
-	pacedAt: number;
+	chunkIntervalMs: number;
+	chunkIntervalAt: number;
 	/**
 	Tokens of prompts that this node sent and that have not begun to be answered.
 	*/
@@ -41,20 +47,20 @@
 	/**
 	Tokens of long prompts among them, as this node tells the others of its region.
 	*/
-	toldTokens: number;
+	broadcastTokens: number;
 	/**
 	Tokens of long prompts of other nodes that are still to be read.
 	*/
-	readonly othersReading: OthersReading;
+	readonly peerPrefillBacklog: PeerPrefillBacklog;
 	/**
 	How fast engines of the service read.
 	*/
-	readonly readingSpeed: ReadingSpeed;
+	readonly prefillSpeed: PrefillSpeed;
 	/**
 	Requests that have not begun to be answered.
 	*/
 	readonly pending: Set<{since: number}>;
-	lastHeardAt: number;
+	lastActivityAt: number;
 	/**
 	From 0 to 1, the latest outcomes counting most.
 	*/
@@ -63,18 +69,18 @@
 	/**
 	When it was found silent, while it is asked whether it lives; it stays in use meanwhile.
 	*/
-	doubtedAt: number | undefined;
+	probingSince: number | undefined;
 	/**
 	When it last answered a question for its health.
 	*/
-	vouchedAt: number;
-	isDistrusted: boolean;
+	lastProbeAnswerAt: number;
+	isPossiblyCold: boolean;
 	probedAt: number;
 	/**
 	When this node sent it requests while it was cold.
 	*/
 	coldSentAt: number[];
-	readonly memory: PromptMemory;
+	readonly promptCache: PromptCacheEstimate;
 };
 
 /**
@@ -82,19 +88,19 @@
 milliseconds. An engine that reads long prompts sends nothing to a node for longer than that, so
 silence alone proves nothing.
 */
-export const silenceMs = 600;
+export const silenceThresholdMs = 600;
 
 /**
 How long a silent server has to answer, in milliseconds: a slot of a full server becomes free many
 times in this time.
 */
-export const doubtMs = 500;
+export const probeAnswerDeadlineMs = 500;
 
 /**
 Time without bytes on an open response after which a server is ejected, in milliseconds, whatever its health checks
 say. Callers give up on a stream after about two seconds of silence.
 */
-export const longestSilenceMs = 2500;
+export const maximumSilenceMs = 2500;
 
 /**
 Builds the state of a server that was sent nothing yet.
@@ -104,47 +110,47 @@
 	memoryTokens: number,
 	now: number,
 	{
-		ownOfService = createSmoothedCount(),
-		readingSpeed = createReadingSpeed(),
-	}: Partial<Pick<ServerState, 'ownOfService' | 'readingSpeed'>> = {},
+		serviceInFlight = createSmoothedCount(),
+		prefillSpeed = createPrefillSpeed(),
+	}: Partial<Pick<ServerState, 'serviceInFlight' | 'prefillSpeed'>> = {},
 ): ServerState => ({
 	known,
-	life: lifeOf(known.server),
+	incarnationId: incarnationIdOf(known.server),
 	inFlight: 0,
-	suspects: 0,
-	ownOfService,
-	stated: undefined,
-	paceMs: 0,
-	pacedAt: -Infinity,
+	crashSuspects: 0,
+	serviceInFlight,
+	statedLoad: undefined,
+	chunkIntervalMs: 0,
+	chunkIntervalAt: -Infinity,
 	pendingTokens: 0,
-	toldTokens: 0,
-	othersReading: createOthersReading(),
-	readingSpeed,
+	broadcastTokens: 0,
+	peerPrefillBacklog: createPeerPrefillBacklog(),
+	prefillSpeed,
 	pending: new Set(),
-	lastHeardAt: now,
+	lastActivityAt: now,
 	failureRate: 0,
 	isSuspect: false,
-	doubtedAt: undefined,
-	vouchedAt: -Infinity,
-	isDistrusted: false,
+	probingSince: undefined,
+	lastProbeAnswerAt: -Infinity,
+	isPossiblyCold: false,
 	probedAt: -Infinity,
 	coldSentAt: [],
-	memory: createPromptMemory(memoryTokens),
+	promptCache: createPromptCacheEstimate(memoryTokens),
 });
 
 /**
 Whether a server is cold, or may be for all that is known.
 */
 export const isCold = (
-	{isDistrusted, known}: ServerState,
+	{isPossiblyCold, known}: ServerState,
 	now: number,
-): boolean => isDistrusted || known.coldUntil > now;
+): boolean => isPossiblyCold || known.coldUntil > now;
 
 /**
 How long a server has owed answers without a sign of life, in milliseconds.
 */
 export const silentFor = (
-	{pending, lastHeardAt}: ServerState,
+	{pending, lastActivityAt}: ServerState,
 	now: number,
 ): number => {
 	let oldest = now;
@@ -152,7 +158,7 @@
 		oldest = Math.min(oldest, since);
 	}
 
-	return now - Math.max(oldest, lastHeardAt);
+	return now - Math.max(oldest, lastActivityAt);
 };
 
 /**
@@ -160,7 +166,7 @@
 whole of it, and a cold one warm.
 */
 export const shiftTimes = (state: ServerState, ms: number): void => {
-	state.lastHeardAt += ms;
+	state.lastActivityAt += ms;
 	for (const waiting of state.pending) {
 		waiting.since += ms;
 	}
@@ -173,7 +179,7 @@
 /**
 Tokens that a server has still to read, of this node's prompts and of the long ones of others.
 */
-export const readingOf = (
-	{pendingTokens, othersReading}: ServerState,
+export const prefillBacklogOf = (
+	{pendingTokens, peerPrefillBacklog}: ServerState,
 	now: number,
-): number => pendingTokens + othersReading.tokens(now);
+): number => pendingTokens + peerPrefillBacklog.tokens(now);
--- a/src/backends/upstream-client.ts
+++ b/src/backends/upstream-client.ts
@@ -108,7 +108,7 @@
 	/**
 	Whether a connection under the key is open and carries no call.
 	*/
-	hasRestingConnection(key: string): boolean;
+	hasIdleConnection(key: string): boolean;
 	close(): Promise<void>;
 };
 
@@ -116,20 +116,20 @@
 How long a connection to another node may take to come up, in milliseconds: several round trips between
 regions.
 */
-export const farConnectTimeoutMs = 800;
+export const peerConnectTimeoutMs = 800;
 
 /**
 How long a connection to a backend server may take to come up, in milliseconds. Servers are of the own
 region, where it takes a few; one that has gone dark lets each attempt hang, and the requests that wait for it
 have a second or so in all.
 */
-export const nearConnectTimeoutMs = 300;
+export const backendConnectTimeoutMs = 300;
 
 /**
 How long a connection without a stated time rests at most, in milliseconds. Backend servers that
 state none close after less than a second.
 */
-export const unstatedIdleMs = 600;
+export const defaultIdleTimeoutMs = 600;
 
 /**
 A resting connection is closed this long before its stated time is over, in milliseconds, so that
@@ -195,7 +195,7 @@
 			pipelining: 1,
 			headersTimeout: 0,
 			bodyTimeout: 0,
-			keepAliveTimeout: unstatedIdleMs,
+			keepAliveTimeout: defaultIdleTimeoutMs,
 			keepAliveTimeoutThreshold: idleMarginMs,
 		});
 		pools.set(key, pool);
@@ -232,7 +232,7 @@
 			void pool?.close().catch(() => undefined);
 		},
 		connectionsOpened: () => opened,
-		hasRestingConnection: (key) => (pools.get(key)?.stats.free ?? 0) > 0,
+		hasIdleConnection: (key) => (pools.get(key)?.stats.free ?? 0) > 0,
 		async close() {
 			const all = pools.values().toArray();
 			pools.clear();
--- a/src/callers/discard-rest.ts
+++ b/src/callers/discard-remaining-body.ts
@@ -12,7 +12,7 @@
 A connection that is closed while the sender still writes is reset, and the sender may never see why it
 was refused.
 */
-export const discardRest = async (request: Readable): Promise<void> =>
+export const discardRemainingBody = async (request: Readable): Promise<void> =>
 	new Promise((resolve) => {
 		const finish = () => {
 			clearTimeout(timer);
--- a/src/callers/start-caller-server.ts
+++ b/src/callers/start-caller-server.ts
@@ -16,7 +16,7 @@
 import type {GatewayNode} from '../node/index.ts';
 import {splitAddress} from '../shared/index.ts';
 import {CallerController, nodeToken} from './caller-controller.ts';
-import {discardRest} from './discard-rest.ts';
+import {discardRemainingBody} from './discard-remaining-body.ts';
 import {writeError} from './write-answer.ts';
 
 /**
@@ -74,7 +74,7 @@
 			'request could not be taken',
 		);
 		if (error.code === bodyTooLarge) {
-			await discardRest(request.raw);
+			await discardRemainingBody(request.raw);
 		}
 
 		await writeError(reply, toGatewayError(error), {connection: 'close'});
--- a/src/clients/client-account.ts
+++ b/src/clients/client-account.ts
@@ -54,7 +54,7 @@
 What a request counts against the limit of its account, by the tokens of its prompt and the most that its answer may
 hold; undefined where it states none.
 */
-export const countOf = (
+export const limitUnitsUsed = (
 	{unit, plainTokens}: ClientLimit,
 	tokens: number | undefined,
 ): number => {
--- a/src/digests/digest-table.ts
+++ b/src/digests/digest-table.ts
@@ -58,7 +58,7 @@
 	/**
 	Everything that may go to a zone; for a node that has just joined or woken.
 	*/
-	everything(availabilityZone: string, now: number): readonly DigestEntry[];
+	allEntries(availabilityZone: string, now: number): readonly DigestEntry[];
 	/**
 	Current values of one kind.
 	*/
@@ -215,7 +215,7 @@
 
 			return chosen;
 		},
-		everything(availabilityZone, now) {
+		allEntries(availabilityZone, now) {
 			dropExpired(now);
 			return rows
 				.values()
--- a/src/engines/engine-client.ts
+++ b/src/engines/engine-client.ts
@@ -6,7 +6,7 @@
 import type {LoadReport} from '../fleet/index.ts';
 import type {AttemptFailure} from '../retries/index.ts';
 import type {ClearedRegion} from '../routing/index.ts';
-import {dropBody, headerReader, type Address} from '../shared/index.ts';
+import {discardBody, headerReader, type Address} from '../shared/index.ts';
 import {withdrawnCode, withdrawUnless} from './withdraw-unless.ts';
 
 /**
@@ -69,7 +69,7 @@
 /**
 What runs at the address of an engine.
 */
-export type EngineLife =
+export type EngineProcessState =
 	| {
 			readonly kind: 'running';
 			/**
@@ -109,7 +109,7 @@
 	/**
 	Asks what runs at an address now.
 	*/
-	readLife(address: Address): Promise<EngineLife>;
+	readProcessState(address: Address): Promise<EngineProcessState>;
 	close(): Promise<void>;
 };
 
@@ -215,7 +215,7 @@
 			const status = await readJson(address, '/load', statusBody, onHead);
 			return status.mapErr(({reason}) => reason);
 		},
-		async readLife(address) {
+		async readProcessState(address) {
 			const status = await readJson(address, '/load', statusBody);
 			return status.isOk
 				? {kind: 'running', incarnation: status.value.incarnation}
@@ -285,7 +285,7 @@
 	}
 
 	if (answer.headers[attemptHeader] !== attemptId) {
-		dropBody(answer.body);
+		discardBody(answer.body);
 		return Result.err(foreignAnswer());
 	}
 
--- a/src/fleet/fleet-parameters.ts
+++ b/src/fleet/fleet-parameters.ts
@@ -5,12 +5,12 @@
 	/**
 	After this long a load report counts for about a third.
 	*/
-	readonly reportDecay: number;
+	readonly reportDecayMs: number;
 	readonly failuresToEject: number;
-	readonly ejection: number;
-	readonly maximumEjection: number;
-	readonly slowStart: number;
-	readonly firstTokenPrior: number;
+	readonly ejectionMs: number;
+	readonly maximumEjectionMs: number;
+	readonly slowStartMs: number;
+	readonly initialFirstTokenMs: number;
 	/**
 	Share of slots beyond which this node sends nothing more to a server.
 	*/
@@ -19,19 +19,19 @@
 	/**
 	How long sums over many servers are used again.
 	*/
-	readonly sumValidity: number;
+	readonly capacityCacheMs: number;
 };
 
 /**
 Parameters in use unless a test states others.
 */
 export const defaultFleetParameters: FleetParameters = {
-	reportDecay: 1000,
+	reportDecayMs: 1000,
 	failuresToEject: 3,
-	ejection: 2000,
-	maximumEjection: 30_000,
-	slowStart: 10_000,
-	firstTokenPrior: 30,
+	ejectionMs: 2000,
+	maximumEjectionMs: 30_000,
+	slowStartMs: 10_000,
+	initialFirstTokenMs: 30,
 	queueAllowance: 0.5,
-	sumValidity: 20,
+	capacityCacheMs: 20,
 };
--- a/src/fleet/fleet-row.ts
+++ b/src/fleet/fleet-row.ts
@@ -23,7 +23,7 @@
 	/**
 	Until when the present process asked this node to send nothing.
 	*/
-	restUntil: number;
+	backoffUntil: number;
 	availableSince: number;
 	incarnation: string | undefined;
 	/**
@@ -48,7 +48,7 @@
 /**
 Takes in a load report, unless a later one is known.
 */
-export const takeReport = (
+export const applyReport = (
 	row: Row,
 	report: LoadReport,
 	observedAt: number,
@@ -67,7 +67,7 @@
 		row.incarnation !== undefined &&
 		row.incarnation !== report.incarnation
 	) {
-		row.restUntil = 0;
+		row.backoffUntil = 0;
 		// A new process starts with cold caches.
 		row.availableSince = now;
 		row.failures = 0;
@@ -94,7 +94,7 @@
 	}
 
 	const trust = Math.exp(
-		-Math.max(0, now - row.reportedAt) / parameters.reportDecay,
+		-Math.max(0, now - row.reportedAt) / parameters.reportDecayMs,
 	);
 	const sinceReport = Math.max(0, row.inFlight - row.inFlightAtReport);
 	return Math.max(
@@ -113,7 +113,7 @@
 ): number =>
 	Math.min(
 		1,
-		Math.max(lowestWeight, (now - row.availableSince) / parameters.slowStart),
+		Math.max(lowestWeight, (now - row.availableSince) / parameters.slowStartMs),
 	);
 
 /**
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -10,7 +10,7 @@
 	anyIncarnation,
 	estimateLoad,
 	isLeavingRow,
-	takeReport,
+	applyReport,
 	weightOf,
 	type Row,
 } from './fleet-row.ts';
@@ -46,7 +46,7 @@
 	/**
 	Milliseconds until this node may send anything to a server; 0 where it may now.
 	*/
-	restLeftMs(backendServer: string, now: number): number;
+	backoffRemainingMs(backendServer: string, now: number): number;
 	states(now: number): readonly BackendServerState[];
 	/**
 	The engine process last heard of, if any.
@@ -82,11 +82,11 @@
 		inFlight: 0,
 		peers: new Map(),
 		peerInFlight: 0,
-		firstTokenMs: parameters.firstTokenPrior,
+		firstTokenMs: parameters.initialFirstTokenMs,
 		failures: 0,
 		ejections: 0,
 		ejectedUntil: 0,
-		restUntil: 0,
+		backoffUntil: 0,
 		availableSince,
 		incarnation: undefined,
 		isLimited: false,
@@ -101,7 +101,7 @@
 				const known = rows.get(server.id);
 				const isSame = known?.server.address === server.address;
 				// Servers of a node's first configuration are taken as warm, later ones ramp up.
-				const since = isFirst ? now - parameters.slowStart : now;
+				const since = isFirst ? now - parameters.slowStartMs : now;
 				return [
 					server.id,
 					isSame ? Object.assign(known, {server}) : createRow(server, since),
@@ -154,9 +154,9 @@
 			return;
 		}
 
-		const duration = parameters.ejection * 2 ** row.ejections;
+		const duration = parameters.ejectionMs * 2 ** row.ejections;
 		generation += 1;
-		row.ejectedUntil = now + Math.min(duration, parameters.maximumEjection);
+		row.ejectedUntil = now + Math.min(duration, parameters.maximumEjectionMs);
 		row.ejections += 1;
 		// One further failure after the pause sets the server aside again.
 		row.failures = parameters.failuresToEject - 1;
@@ -194,15 +194,15 @@
 	// A server returns from its rest as one that has just started: requests that were held back do not arrive all at once.
 	const rest = (row: Row, until: number) => {
 		generation += 1;
-		row.restUntil = Math.max(row.restUntil, until);
-		row.availableSince = Math.max(row.availableSince, row.restUntil);
+		row.backoffUntil = Math.max(row.backoffUntil, until);
+		row.availableSince = Math.max(row.availableSince, row.backoffUntil);
 	};
 
 	const isThere = (row: Row, now: number): boolean =>
 		!isLeavingRow(row) && row.ejectedUntil <= now;
 
 	const isUsable = (row: Row, now: number): boolean =>
-		isThere(row, now) && row.restUntil <= now;
+		isThere(row, now) && row.backoffUntil <= now;
 
 	const sumUp = (
 		servers: readonly BackendServer[],
@@ -222,7 +222,7 @@
 
 			const held = estimateLoad(row, parameters, now);
 			// A limited or resting server has no room to offer to other zones.
-			const isUsedUp = row.isLimited || row.restUntil > now;
+			const isUsedUp = row.isLimited || row.backoffUntil > now;
 			load += isUsedUp ? Math.max(held, row.server.slots) : held;
 			slots += row.server.slots;
 			weightedFirstToken += row.firstTokenMs * row.server.slots;
@@ -247,7 +247,7 @@
 		const known = sums.get(servers);
 		if (
 			known?.generation === generation &&
-			now - known.at < parameters.sumValidity
+			now - known.at < parameters.capacityCacheMs
 		) {
 			return known.capacity;
 		}
@@ -290,7 +290,7 @@
 
 			case 'load-reported': {
 				withRow(event.backendServer, (row) => {
-					takeReport(row, event.report, event.observedAt, now);
+					applyReport(row, event.report, event.observedAt, now);
 				});
 				return;
 			}
@@ -383,7 +383,8 @@
 		},
 		capacity: capacityOf,
 		summary: (servers, now) => sumUp(servers, now, isThere),
-		restLeftMs: (id, now) => Math.max(0, (rows.get(id)?.restUntil ?? 0) - now),
+		backoffRemainingMs: (id, now) =>
+			Math.max(0, (rows.get(id)?.backoffUntil ?? 0) - now),
 		inFlight: () =>
 			Object.fromEntries(
 				[...rows]
--- a/src/gateway/choosing/choose-upstream.ts
+++ b/src/gateway/choosing/choose-upstream.ts
@@ -12,9 +12,9 @@
 	type PromptNodeOptions,
 } from './choose-prompt-node.ts';
 import {
-	nodesOfLeastLoaded,
+	nodesOfLeastLoadedRegion,
 	type RegionNodes,
-	type Tried,
+	type TriedTargets,
 } from './region-nodes.ts';
 
 /**
@@ -44,7 +44,7 @@
 	/**
 	Whether a request to a node would need no new connection.
 	*/
-	readonly hasRestingConnection: (member: Member) => boolean;
+	readonly hasIdleConnection: (member: Member) => boolean;
 	readonly random: Random;
 };
 
@@ -53,7 +53,7 @@
 */
 export type UpstreamChooser = (
 	exchange: Exchange,
-	tried: Tried,
+	tried: TriedTargets,
 	placement: Placement,
 	now: number,
 ) => UpstreamChoice;
@@ -73,13 +73,11 @@
 export const createUpstreamChooser = (
 	options: UpstreamChooserOptions,
 ): UpstreamChooser => {
-	const {ownRegion, fleet, without} = options;
+	const {localRegion, fleet, without} = options;
 
 	// Opening a connection takes as long as the way to another region and back.
 	const toPeer = ({members, region}: RegionNodes): UpstreamChoice => {
-		const connected = members.filter((each) =>
-			options.hasRestingConnection(each),
-		);
+		const connected = members.filter((each) => options.hasIdleConnection(each));
 		const candidates = connected.length > 0 ? connected : members;
 		const member = candidates[options.random.below(candidates.length)]!;
 		return {kind: 'peer', member, region};
@@ -94,7 +92,7 @@
 			return toPeer(home);
 		}
 
-		const local: LocalChoice = isRegionAllowed(exchange.route, ownRegion)
+		const local: LocalChoice = isRegionAllowed(exchange.route, localRegion)
 			? fleet.choose(placement, now)
 			: {kind: 'none'};
 		if (local.kind === 'server' && local.cost <= comfortableCost) {
@@ -106,7 +104,7 @@
 		const remote =
 			isKeptHere || exchange.hop !== undefined
 				? undefined
-				: nodesOfLeastLoaded(options, exchange, tried);
+				: nodesOfLeastLoadedRegion(options, exchange, tried);
 		if (!remote) {
 			return local;
 		}
--- a/src/gateway/choosing/gateway-chooser.ts
+++ b/src/gateway/choosing/gateway-chooser.ts
@@ -3,19 +3,19 @@
 	ServiceLoad,
 	UpstreamClient,
 } from '../../backends/index.ts';
-import type {Without} from '../../mechanisms/index.ts';
+import type {DisabledMechanisms} from '../../mechanisms/index.ts';
 import type {Member} from '../../membership/index.ts';
 import type {Mesh} from '../../mesh/index.ts';
 import {isRegionAllowed} from '../../routes/index.ts';
 import type {Random} from '../../shared/index.ts';
 import type {Exchange} from '../exchange.ts';
-import {peerKey} from '../delivery/index.ts';
+import {peerConnectionKey} from '../delivery/index.ts';
 import {
 	createUpstreamChooser,
 	type UpstreamChooser,
 } from './choose-upstream.ts';
 import type {PlacementView} from './placement-view.ts';
-import {findPromptHome, type PromptHolder} from './prompt-home.ts';
+import {findPromptHome, type PromptCandidate} from './prompt-home.ts';
 
 /**
 Chooses where requests go, by what this node knows of other nodes and regions.
@@ -37,17 +37,17 @@
 	*/
 	readonly zones: Readonly<Record<string, string>>;
 	readonly regions: readonly string[];
-	readonly ownRegion: string;
+	readonly localRegion: string;
 	readonly mesh: Mesh;
 	readonly fleet: BackendFleet;
 	readonly placement: PlacementView;
 	/**
 	Whether a backend server is known to keep a prompt part.
 	*/
-	readonly keeps: (server: string, part: string) => boolean;
-	readonly client: Pick<UpstreamClient, 'hasRestingConnection'>;
+	readonly isCached: (server: string, part: string) => boolean;
+	readonly client: Pick<UpstreamClient, 'hasIdleConnection'>;
 	readonly random: Random;
-	readonly without: Without;
+	readonly without: DisabledMechanisms;
 	readonly clock: () => number;
 };
 
@@ -68,15 +68,15 @@
 	return {
 		choose: createUpstreamChooser({
 			self: mesh.self,
-			ownRegion: options.ownRegion,
+			localRegion: options.localRegion,
 			fleet: options.fleet,
 			membersIn: (region) =>
 				mesh.usableIn(region).filter((each) => isReachable(each)),
 			regions: options.regions,
 			loadIn: (region, service) => loadIn(options, region, service),
 			promptHome: (exchange, part) => promptHome(options, exchange, part),
-			hasRestingConnection: (member) =>
-				options.client.hasRestingConnection(peerKey(member)),
+			hasIdleConnection: (member) =>
+				options.client.hasIdleConnection(peerConnectionKey(member)),
 			random: options.random,
 			without: options.without,
 		}),
@@ -105,15 +105,15 @@
 
 // Servers that keep the part go before those that would have to read it, the own region's first.
 const promptHome = (
-	{ownRegion, placement, keeps}: GatewayChooserOptions,
+	{localRegion, placement, isCached}: GatewayChooserOptions,
 	{route, service}: Exchange,
 	part: string,
-): PromptHolder | undefined => {
+): PromptCandidate | undefined => {
 	const holders = placement
-		.holders(service)
+		.candidates(service)
 		.filter(({region}) => isRegionAllowed(route, region));
-	const keepers = holders.filter(({id}) => keeps(id, part));
-	const near = keepers.find(({region}) => region === ownRegion);
+	const keepers = holders.filter(({id}) => isCached(id, part));
+	const near = keepers.find(({region}) => region === localRegion);
 	if (near) {
 		return near;
 	}
--- a/src/gateway/choosing/placement-view.ts
+++ b/src/gateway/choosing/placement-view.ts
@@ -2,7 +2,7 @@
 import type {Route} from '../../routes/index.ts';
 import {
 	weighRegions,
-	type PromptHolder,
+	type PromptCandidate,
 	type RegionWeights,
 } from './prompt-home.ts';
 
@@ -17,7 +17,7 @@
 	/**
 	Servers of a service that may be used, in all regions.
 	*/
-	holders(service: string): readonly PromptHolder[];
+	candidates(service: string): readonly PromptCandidate[];
 	/**
 	Requests that the servers of a region run at the same time.
 	*/
@@ -41,7 +41,7 @@
 	options: PlacementViewOptions,
 ): PlacementView => {
 	const {mirror, regionOf} = options;
-	const holders = new Map<string, PromptHolder[]>();
+	const holders = new Map<string, PromptCandidate[]>();
 	const slots = new Map<string, number>();
 	const weights = new Map<string, RegionWeights>();
 
@@ -64,7 +64,7 @@
 				holders.set(service, held);
 			}
 		},
-		holders: (service) => holders.get(service) ?? [],
+		candidates: (service) => holders.get(service) ?? [],
 		slotsIn: (region, service) => slots.get(`${region}/${service}`) ?? 0,
 		weights(route) {
 			const known = weights.get(route.name);
--- a/src/gateway/choosing/prompt-home.ts
+++ b/src/gateway/choosing/prompt-home.ts
@@ -4,7 +4,7 @@
 /**
 A backend server that may hold a prompt.
 */
-export type PromptHolder = {readonly id: string; readonly region: string};
+export type PromptCandidate = {readonly id: string; readonly region: string};
 
 /**
 Weight of a server by its region: how much more often it is chosen than others.
@@ -48,11 +48,12 @@
 */
 export const findPromptHome = (
 	part: string,
-	holders: readonly PromptHolder[],
+	holders: readonly PromptCandidate[],
 	weights: RegionWeights,
-): PromptHolder | undefined => {
+): PromptCandidate | undefined => {
 	const weightOf = keyedWeight(part);
-	let best: {readonly holder: PromptHolder; readonly score: number} | undefined;
+	let best:
+		{readonly holder: PromptCandidate; readonly score: number} | undefined;
 	for (const holder of holders) {
 		const draw = (weightOf(holder.id) + 1) / (hashRange + 1);
 		const score = (weights.get(holder.region) ?? 1) / -Math.log(draw);
--- a/src/gateway/choosing/region-nodes.ts
+++ b/src/gateway/choosing/region-nodes.ts
@@ -6,7 +6,7 @@
 /**
 What a request has met so far.
 */
-export type Tried = {
+export type TriedTargets = {
 	/**
 	Regions that refused it, and nodes that could not be reached.
 	*/
@@ -30,7 +30,7 @@
 What nodes are found from.
 */
 export type RegionNodesOptions = {
-	readonly ownRegion: string;
+	readonly localRegion: string;
 	readonly regions: readonly string[];
 	/**
 	Nodes of a region that can be given work.
@@ -50,10 +50,10 @@
 	options: RegionNodesOptions,
 	region: string,
 	exchange: Exchange,
-	tried: Tried,
+	tried: TriedTargets,
 ): RegionNodes | undefined => {
 	const isOpen =
-		region !== options.ownRegion &&
+		region !== options.localRegion &&
 		isRegionAllowed(exchange.route, region) &&
 		!tried.regions.has(region);
 	if (!isOpen) {
@@ -70,10 +70,10 @@
 /**
 Finds the nodes of the other region that has the least load by its room.
 */
-export const nodesOfLeastLoaded = (
+export const nodesOfLeastLoadedRegion = (
 	options: RegionNodesOptions,
 	exchange: Exchange,
-	tried: Tried,
+	tried: TriedTargets,
 ): RegionNodes | undefined => {
 	let best: RegionNodes | undefined;
 	for (const region of options.regions) {
@@ -92,6 +92,6 @@
 export const untriedIn = (
 	{membersIn}: Pick<RegionNodesOptions, 'membersIn'>,
 	region: string,
-	tried: Tried,
+	tried: TriedTargets,
 ): readonly Member[] =>
 	membersIn(region).filter(({id}) => !tried.members.has(id));
--- a/src/gateway/client-limit-log.ts
+++ b/src/gateway/client-limit-log.ts
@@ -19,7 +19,7 @@
 An account that was not limited for so long is free again, in milliseconds: as long as its requests come back after a
 refusal, so that one line says how long it was.
 */
-export const freeAfterMs = 5000;
+export const unlimitedAfterMs = 5000;
 
 type Limited = {readonly since: number; lastAt: number; refused: number};
 
@@ -39,9 +39,9 @@
 		logger.info(
 			{
 				client: account,
-				part: state?.part,
-				askedPerSecond: state?.usage.asked,
-				passedInWindow: state?.usage.passed,
+				part: state?.admissionFraction,
+				askedPerSecond: state?.usage.requested,
+				passedInWindow: state?.usage.admitted,
 				totalsAgeMs: Math.round(state?.ageMs ?? Infinity),
 			},
 			'client account is limited',
@@ -64,7 +64,7 @@
 		},
 		tick(now) {
 			for (const [account, {since, lastAt, refused}] of limited) {
-				if (now - lastAt <= freeAfterMs) {
+				if (now - lastAt <= unlimitedAfterMs) {
 					continue;
 				}
 
--- a/src/gateway/delivery/room-outlook.ts
+++ b/src/gateway/delivery/capacity-forecast.ts
@@ -1,19 +1,19 @@
 /**
 Predicts when room becomes free, by how often it did lately.
 */
-export type RoomOutlook = {
+export type CapacityForecast = {
 	/**
 	A request of the service has left its place at a server.
 	*/
-	freed(service: string, now: number): void;
+	noteRelease(service: string, now: number): void;
 	/**
 	A request of the service was refused for want of room; it is likely to come back.
 	*/
-	refused(service: string, now: number): void;
+	noteRefusal(service: string, now: number): void;
 	/**
 	Requests of the service that were refused lately and are likely to come back.
 	*/
-	returning(service: string, now: number): number;
+	expectedRetries(service: string, now: number): number;
 	/**
 	Milliseconds until a request gets room that has so many before it in the line.
 	*/
@@ -24,12 +24,12 @@
 What was seen within this time counts, in milliseconds: long enough for some requests of a few seconds, short
 enough to follow servers that come and go.
 */
-export const outlookMs = 2000;
+export const forecastWindowMs = 2000;
 
 /**
 Places that are taken to become free in a second where none did lately; there was little to end.
 */
-export const assumedPerSecond = 5;
+export const assumedReleasesPerSecond = 5;
 
 // Times beyond this are not counted one by one: the rate is known well enough.
 const mostTimes = 500;
@@ -37,7 +37,7 @@
 /**
 Builds an outlook that has seen nothing yet.
 */
-export const createRoomOutlook = (): RoomOutlook => {
+export const createCapacityForecast = (): CapacityForecast => {
 	const freedAt = new Map<string, number[]>();
 	const refusedAt = new Map<string, number[]>();
 
@@ -56,7 +56,7 @@
 		now: number,
 	): readonly number[] => {
 		const known = times.get(service) ?? [];
-		while (known[0] !== undefined && known[0] < now - outlookMs) {
+		while (known[0] !== undefined && known[0] < now - forecastWindowMs) {
 			known.shift();
 		}
 
@@ -66,22 +66,26 @@
 	const perMs = (service: string, now: number): number => {
 		const times = recent(freedAt, service, now);
 		const spanMs =
-			times.length === mostTimes ? Math.max(1, now - times[0]!) : outlookMs;
-		return times.length > 0 ? times.length / spanMs : assumedPerSecond / 1000;
+			times.length === mostTimes
+				? Math.max(1, now - times[0]!)
+				: forecastWindowMs;
+		return times.length > 0
+			? times.length / spanMs
+			: assumedReleasesPerSecond / 1000;
 	};
 
-	const returning = (service: string, now: number): number =>
+	const expectedRetries = (service: string, now: number): number =>
 		recent(refusedAt, service, now).length;
 
 	return {
-		freed(service, now) {
+		noteRelease(service, now) {
 			enter(freedAt, service, now);
 		},
-		refused(service, now) {
+		noteRefusal(service, now) {
 			enter(refusedAt, service, now);
 		},
-		returning,
+		expectedRetries,
 		waitMs: (service, before, now) =>
-			(before + returning(service, now) + 1) / perMs(service, now),
+			(before + expectedRetries(service, now) + 1) / perMs(service, now),
 	};
 };
--- a/src/gateway/delivery/connection-warmer.ts
+++ b/src/gateway/delivery/connection-warmer.ts
@@ -1,12 +1,15 @@
 import {
-	farConnectTimeoutMs,
+	peerConnectTimeoutMs,
 	type OpenCall,
 	type UpstreamClient,
 } from '../../backends/index.ts';
 import type {Member} from '../../membership/index.ts';
 import {peerPaths} from '../../mesh/index.ts';
 import type {Random} from '../../shared/index.ts';
-import {connectionsToPeer, peerKey} from './peer-connections.ts';
+import {
+	maximumConnectionsPerPeer,
+	peerConnectionKey,
+} from './peer-connections.ts';
 
 /**
 Keeps some connections open to other regions, so that no request waits for one to be opened.
@@ -17,7 +20,7 @@
 What connections are opened with.
 */
 export type ConnectionWarmerOptions = {
-	readonly client: Pick<UpstreamClient, 'call' | 'hasRestingConnection'>;
+	readonly client: Pick<UpstreamClient, 'call' | 'hasIdleConnection'>;
 	readonly otherRegions: readonly string[];
 	/**
 	Nodes of a region that can be given work.
@@ -29,13 +32,13 @@
 /**
 Nodes of each other region to which a connection is to rest: one for a request, and one for its second try.
 */
-export const restingPerRegion = 2;
+export const idleConnectionsPerRegion = 2;
 
 /**
 How often it looks for connections that are missing, in milliseconds. One is opened for each region at
 a time.
 */
-export const warmEveryMs = 500;
+export const warmIntervalMs = 500;
 
 /**
 How long a call that opens a connection may take, in milliseconds: some round trips between regions.
@@ -59,10 +62,10 @@
 
 		const call = client.call(
 			{
-				key: peerKey(member),
+				key: peerConnectionKey(member),
 				address: member.peerAddress,
-				maximumConnections: connectionsToPeer,
-				connectTimeoutMs: farConnectTimeoutMs,
+				maximumConnections: maximumConnectionsPerPeer,
+				connectTimeoutMs: peerConnectTimeoutMs,
 				method: 'GET',
 				target: peerPaths.rest,
 				headers: ['host', member.peerAddress],
@@ -81,9 +84,9 @@
 	const warm = (region: string, now: number) => {
 		const members = membersIn(region);
 		const missing = members.filter(
-			(member) => !client.hasRestingConnection(peerKey(member)),
+			(member) => !client.hasIdleConnection(peerConnectionKey(member)),
 		);
-		const isWarm = members.length - missing.length >= restingPerRegion;
+		const isWarm = members.length - missing.length >= idleConnectionsPerRegion;
 		if (!isWarm && missing.length > 0) {
 			open(region, missing[random.below(missing.length)]!, now);
 		}
@@ -103,7 +106,7 @@
 
 	return {
 		tick(now) {
-			if (now - lookedAt < warmEveryMs) {
+			if (now - lookedAt < warmIntervalMs) {
 				return;
 			}
 
--- a/src/gateway/delivery/delivery-context.ts
+++ b/src/gateway/delivery/delivery-context.ts
@@ -3,24 +3,24 @@
 	UpstreamClient,
 	UpstreamFailure,
 } from '../../backends/index.ts';
-import type {Without} from '../../mechanisms/index.ts';
+import type {DisabledMechanisms} from '../../mechanisms/index.ts';
 import type {Member} from '../../membership/index.ts';
-import type {Standing} from '../../quarantine/index.ts';
+import type {QuarantineStatus} from '../../quarantine/index.ts';
 import type {RetryYield, WindowRetryBudget} from '../../retries/index.ts';
 import type {Route} from '../../routes/index.ts';
 import type {BackendLimits} from '../../backend-limits/index.ts';
 import type {
-	ServerStandings,
-	StatementIntake,
+	ServerAnnouncements,
+	StatementHandler,
 } from '../../server-statements/index.ts';
 import type {UpstreamChooser} from '../choosing/index.ts';
 import type {DeliveryRecord, Exchange, RequestClient} from '../exchange.ts';
 import type {ConnectionShare} from '../sharing/index.ts';
 import type {WireHeaders} from '../wire-headers.ts';
 import type {DeliveryRun} from './delivery-run.ts';
-import type {RoomOutlook} from './room-outlook.ts';
+import type {CapacityForecast} from './capacity-forecast.ts';
 import type {RouteDurations} from './route-durations.ts';
-import type {WaitingRequests} from './waiting-requests.ts';
+import type {RequestQueue} from './request-queue.ts';
 
 /**
 A call to a backend server.
@@ -30,7 +30,7 @@
 	/**
 	Names the life of the server.
 	*/
-	readonly life: string;
+	readonly incarnationId: string;
 	readonly sentAt: number;
 };
 
@@ -44,7 +44,7 @@
 	*/
 	readonly clock: () => number;
 	readonly headers: WireHeaders;
-	readonly without: Without;
+	readonly without: DisabledMechanisms;
 	readonly fleet: BackendFleet;
 	readonly client: UpstreamClient;
 	readonly choose: UpstreamChooser;
@@ -52,7 +52,7 @@
 	/**
 	Nodes that share the retry budget, this one included.
 	*/
-	readonly nodes: () => number;
+	readonly budgetNodes: () => number;
 	readonly durations: RouteDurations;
 	/**
 	Whether this node had time to hear of the others.
@@ -61,7 +61,10 @@
 	/**
 	Connections that this node may hold to one backend server of a service.
 	*/
-	readonly connectionsTo: (service: string, server: string) => ConnectionShare;
+	readonly connectionShare: (
+		service: string,
+		server: string,
+	) => ConnectionShare;
 	readonly routesVersion: () => number;
 	/**
 	Whether the own region may serve a route.
@@ -85,7 +88,7 @@
 	/**
 	Says that the connection of a request to a backend server ended without a whole answer, or went silent.
 	*/
-	readonly onBroken: (exchange: Exchange, call: ServerCall) => void;
+	readonly onCallBroken: (exchange: Exchange, call: ServerCall) => void;
 	/**
 	Says that a request was answered whole by a backend server.
 	*/
@@ -93,15 +96,15 @@
 	/**
 	What is known against a request.
 	*/
-	readonly standing: (exchange: Exchange) => Standing;
+	readonly quarantineStatus: (exchange: Exchange) => QuarantineStatus;
 	/**
 	Takes in what backend servers state in their answers.
 	*/
-	readonly statements: StatementIntake;
+	readonly statements: StatementHandler;
 	/**
 	What they have announced about receiving requests.
 	*/
-	readonly standings: Pick<ServerStandings, 'sent' | 'rests'>;
+	readonly announcements: Pick<ServerAnnouncements, 'recordSend' | 'backoffs'>;
 	/**
 	Whether a life of a server may be sent a request now.
 	*/
@@ -122,8 +125,8 @@
 */
 export type DeliveryContext = DeliveryOptions & {
 	readonly runs: Set<DeliveryRun>;
-	readonly line: WaitingRequests;
-	readonly outlook: RoomOutlook;
+	readonly queue: RequestQueue;
+	readonly forecast: CapacityForecast;
 	readonly retryYield: RetryYield;
 	/**
 	Sends a request to the best place that it may still go to, or lets it wait for room.
--- a/src/gateway/delivery/delivery-run.ts
+++ b/src/gateway/delivery/delivery-run.ts
@@ -7,9 +7,9 @@
 import type {Outcome} from '../../errors/index.ts';
 import type {Member} from '../../membership/index.ts';
 import {isRepeatable, placementPart} from '../../routes/index.ts';
-import type {AnswerSink, Exchange} from '../exchange.ts';
+import type {ResponseSink, Exchange} from '../exchange.ts';
 import type {EventRelay} from './event-relay.ts';
-import type {WaitingRequest} from './waiting-requests.ts';
+import type {QueuedRequest} from './request-queue.ts';
 
 /**
 The call to a backend server or another node that a request waits for.
@@ -24,7 +24,7 @@
 	/**
 	Names the life of that server.
 	*/
-	readonly life: string | undefined;
+	readonly incarnationId: string | undefined;
 	readonly sentAt: number;
 	/**
 	Given with `region` for a call to another node.
@@ -41,7 +41,7 @@
 */
 export type DeliveryRun = {
 	readonly exchange: Exchange;
-	readonly sink: AnswerSink;
+	readonly sink: ResponseSink;
 	readonly placement: Placement;
 	/**
 	Backend servers that are not to get it again, those that other nodes named included.
@@ -50,15 +50,15 @@
 	/**
 	Backend servers that may have received it from here or by way of another node, in order.
 	*/
-	readonly tried: string[];
+	readonly triedServers: string[];
 	/**
 	Regions that had no room for it.
 	*/
-	readonly regions: Set<string>;
+	readonly fullRegions: Set<string>;
 	/**
 	Nodes that it was sent to.
 	*/
-	readonly members: Set<string>;
+	readonly triedNodes: Set<string>;
 	/**
 	What was tried, in order, for the record.
 	*/
@@ -68,7 +68,7 @@
 	Ends it when its time is over.
 	*/
 	timer: NodeJS.Timeout | undefined;
-	waiting: WaitingRequest | undefined;
+	queued: QueuedRequest | undefined;
 	/**
 	Milliseconds that it waited for room so far.
 	*/
@@ -98,7 +98,7 @@
 	/**
 	When the latest piece of a stream came.
 	*/
-	pieceAt: number | undefined;
+	lastChunkAt: number | undefined;
 	/**
 	The longest time between two pieces of the stream so far, in milliseconds.
 	*/
@@ -106,23 +106,23 @@
 	/**
 	Whether there was no server at all that it might go to when it was last looked for, whatever was tried.
 	*/
-	hasNowhereToGo: boolean;
+	hasNoCandidate: boolean;
 	/**
 	Given while all servers that it might go to here have named limits: requests a second that this node may send them.
 	*/
-	roomPerSecond: number | undefined;
+	allowedPerSecond: number | undefined;
 	/**
 	Given while all servers that it might go to here rest: when the first of them may be sent a request.
 	*/
-	restUntil: number | undefined;
+	backoffUntil: number | undefined;
 	/**
 	Whether there was a server here that it might go to when it was last looked for.
 	*/
-	hasServerHere: boolean;
+	hasLocalServer: boolean;
 	/**
 	When a server of another region may be sent it, where all of that region rest.
 	*/
-	remoteRoomAt: number | undefined;
+	remoteAvailableAt: number | undefined;
 	/**
 	Whether it is not sent on because servers crashed each time that they ran it.
 	*/
@@ -131,7 +131,7 @@
 	/**
 	Whether the caller left while the request is left to end.
 	*/
-	isDeserted: boolean;
+	hasCallerLeft: boolean;
 };
 
 /**
@@ -152,7 +152,7 @@
 */
 export const createDeliveryRun = (
 	exchange: Exchange,
-	sink: AnswerSink,
+	sink: ResponseSink,
 ): DeliveryRun => {
 	// The placement sees each server that is excluded later.
 	const excluded = new Set<string>(exchange.hop?.excluded);
@@ -160,7 +160,7 @@
 		exchange,
 		sink,
 		excluded,
-		tried: [],
+		triedServers: [],
 		placement: {
 			service: exchange.service,
 			sharedPart: exchange.prompt && placementPart(exchange.prompt),
@@ -168,12 +168,12 @@
 			targetMs: exchange.route.targetLatencyMs,
 			excluded,
 		},
-		regions: new Set(),
-		members: new Set(),
+		fullRegions: new Set(),
+		triedNodes: new Set(),
 		steps: [],
 		isRepeatable: isRepeatable(exchange.route),
 		timer: undefined,
-		waiting: undefined,
+		queued: undefined,
 		waitedMs: 0,
 		current: undefined,
 		outcome: 'not-run',
@@ -182,16 +182,16 @@
 		hasBegun: false,
 		firstByteAt: undefined,
 		status: 0,
-		pieceAt: undefined,
+		lastChunkAt: undefined,
 		longestPauseMs: 0,
-		hasNowhereToGo: false,
-		roomPerSecond: undefined,
-		restUntil: undefined,
-		hasServerHere: false,
-		remoteRoomAt: undefined,
+		hasNoCandidate: false,
+		allowedPerSecond: undefined,
+		backoffUntil: undefined,
+		hasLocalServer: false,
+		remoteAvailableAt: undefined,
 		isQuarantined: false,
 		isOver: false,
-		isDeserted: false,
+		hasCallerLeft: false,
 	};
 };
 
@@ -200,9 +200,9 @@
 sent it decides.
 */
 export const hasAttemptLeft = (
-	{exchange, tried}: DeliveryRun,
+	{exchange, triedServers}: DeliveryRun,
 	now: number,
 ): boolean =>
 	!exchange.hop &&
-	tried.length < exchange.route.maximumAttempts &&
+	triedServers.length < exchange.route.maximumAttempts &&
 	now < exchange.expiresAt;
--- a/src/gateway/delivery/delivery.ts
+++ b/src/gateway/delivery/delivery.ts
@@ -1,5 +1,5 @@
 import {createRetryYield} from '../../retries/index.ts';
-import type {AnswerSink, Exchange} from '../exchange.ts';
+import type {ResponseSink, Exchange} from '../exchange.ts';
 import {fingerprintOfExchange} from '../fingerprint-of-exchange.ts';
 import type {DeliveryContext, DeliveryOptions} from './delivery-context.ts';
 import {
@@ -15,10 +15,10 @@
 	refuseQuarantined,
 	refuseRun,
 } from './end-run.ts';
-import {failCall, noteBroken} from './fail-call.ts';
-import {createRoomOutlook} from './room-outlook.ts';
+import {failCall, reportBrokenCall} from './fail-call.ts';
+import {createCapacityForecast} from './capacity-forecast.ts';
 import {sendOrWait} from './send-run.ts';
-import {createWaitingRequests} from './waiting-requests.ts';
+import {createRequestQueue} from './request-queue.ts';
 
 export type {DeliveryOptions} from './delivery-context.ts';
 
@@ -36,7 +36,7 @@
 Sends requests to backend servers and their answers back.
 */
 export type Deliveries = {
-	deliver(exchange: Exchange, sink: AnswerSink): Delivery;
+	deliver(exchange: Exchange, sink: ResponseSink): Delivery;
 	/**
 	Goes on with what waits, and gives up what waited too long; called at each tick.
 	*/
@@ -44,11 +44,11 @@
 	/**
 	Takes requests away from a backend server that has gone silent.
 	*/
-	serverSilent(server: string): void;
+	serverStoppedResponding(server: string): void;
 	/**
 	Takes a request that was put in quarantine away from where it is or waits: it may not have begun yet.
 	*/
-	quarantined(fingerprint: string): void;
+	cancelQuarantined(fingerprint: string): void;
 	/**
 	Requests under way.
 	*/
@@ -56,7 +56,7 @@
 	/**
 	Requests that wait for room.
 	*/
-	waiting(): number;
+	queuedCount(): number;
 };
 
 /**
@@ -66,14 +66,14 @@
 	const context: DeliveryContext = {
 		...options,
 		runs: new Set(),
-		line: createWaitingRequests(),
-		outlook: createRoomOutlook(),
+		queue: createRequestQueue(),
+		forecast: createCapacityForecast(),
 		retryYield: createRetryYield(),
 		sendOrWait(run) {
 			sendOrWait(context, run);
 		},
 	};
-	const {runs, line} = context;
+	const {runs, queue} = context;
 
 	return {
 		deliver(exchange, sink) {
@@ -85,19 +85,19 @@
 			};
 		},
 		tick(now) {
-			line.pump(now);
-			line.expire(now, ({roomInMs, until}, before) =>
-				isHopeless(roomInMs(before), until - now),
+			queue.dispatch(now);
+			queue.expire(now, ({capacityWaitMs, expiresAt}, before) =>
+				isHopeless(capacityWaitMs(before), expiresAt - now),
 			);
 		},
-		serverSilent(server) {
+		serverStoppedResponding(server) {
 			for (const run of runs) {
 				if (run.current?.server === server) {
 					leaveSilentServer(context, run);
 				}
 			}
 		},
-		quarantined(fingerprint) {
+		cancelQuarantined(fingerprint) {
 			for (const run of runs) {
 				if (fingerprintOfExchange(run.exchange) === fingerprint) {
 					takeAway(context, run);
@@ -105,7 +105,7 @@
 			}
 		},
 		count: () => runs.size,
-		waiting: () => line.length(),
+		queuedCount: () => queue.length(),
 	};
 };
 
@@ -116,7 +116,7 @@
 const startRun = (
 	context: DeliveryContext,
 	exchange: Exchange,
-	sink: AnswerSink,
+	sink: ResponseSink,
 ): DeliveryRun => {
 	const {budget, clock, runs} = context;
 	const run = createDeliveryRun(exchange, sink);
@@ -129,7 +129,7 @@
 	);
 	// The node of the caller has counted a forwarded request already.
 	if (!exchange.hop) {
-		budget.earn(exchange.service, clock());
+		budget.recordRequest(exchange.service, clock());
 	}
 
 	// A late node may come to a request only when its caller's time is over.
@@ -179,7 +179,7 @@
 	run: DeliveryRun,
 ): void => {
 	if (run.current) {
-		noteBroken(context, run, run.current);
+		reportBrokenCall(context, run, run.current);
 	}
 
 	if (run.isRepeatable && hasAttemptLeft(run, context.clock())) {
@@ -193,7 +193,7 @@
 };
 
 const callerLeft = (context: DeliveryContext, run: DeliveryRun): void => {
-	if (run.isOver || run.isDeserted) {
+	if (run.isOver || run.hasCallerLeft) {
 		return;
 	}
 
@@ -201,7 +201,7 @@
 	const isLeftToEnd =
 		run.current !== undefined && run.exchange.route.kind === 'non-idempotent';
 	if (isLeftToEnd) {
-		run.isDeserted = true;
+		run.hasCallerLeft = true;
 		return;
 	}
 
--- a/src/gateway/delivery/end-run.ts
+++ b/src/gateway/delivery/end-run.ts
@@ -3,7 +3,7 @@
 import type {DeliveryRecord} from '../exchange.ts';
 import type {DeliveryContext} from './delivery-context.ts';
 import type {DeliveryRun} from './delivery-run.ts';
-import {roomAfterReturnMs} from './room-in.ts';
+import {retryWaitMs} from './capacity-wait.ts';
 
 /**
 Seconds after which a refused caller should come back at the least. A place in an engine becomes
@@ -45,17 +45,17 @@
 /**
 Takes a request out of the line, if it waits there.
 */
-export const leaveLine = (
-	{clock, line}: DeliveryContext,
+export const leaveQueue = (
+	{clock, queue}: DeliveryContext,
 	run: DeliveryRun,
 ): void => {
-	if (!run.waiting) {
+	if (!run.queued) {
 		return;
 	}
 
-	line.leave(run.waiting);
-	run.waitedMs += clock() - run.waiting.since;
-	run.waiting = undefined;
+	queue.remove(run.queued);
+	run.waitedMs += clock() - run.queued.queuedAt;
+	run.queued = undefined;
 };
 
 /**
@@ -64,7 +64,7 @@
 export const closeRun = (context: DeliveryContext, run: DeliveryRun): void => {
 	run.isOver = true;
 	clearTimeout(run.timer);
-	leaveLine(context, run);
+	leaveQueue(context, run);
 	context.runs.delete(run);
 };
 
@@ -72,7 +72,7 @@
 Ends the current call, if there is one, and gives its room to what waits.
 */
 export const endCurrentCall = (
-	{clock, line, outlook}: DeliveryContext,
+	{clock, queue, forecast}: DeliveryContext,
 	run: DeliveryRun,
 	how: BackendAttemptEnd,
 	shouldAbort: boolean,
@@ -91,10 +91,10 @@
 
 	const now = clock();
 	if (current.attempt) {
-		outlook.freed(run.exchange.service, now);
+		forecast.noteRelease(run.exchange.service, now);
 	}
 
-	line.pump(now);
+	queue.dispatch(now);
 };
 
 /**
@@ -138,10 +138,10 @@
 			run.outcome === 'not-run' ? comeBackSeconds() : undefined,
 	});
 	const roomInMs =
-		run.restUntil === undefined
+		run.backoffUntil === undefined
 			? undefined
-			: Math.max(0, run.restUntil - context.clock());
-	run.sink.refuse(error, run.tried, roomInMs);
+			: Math.max(0, run.backoffUntil - context.clock());
+	run.sink.refuse(error, run.triedServers, roomInMs);
 	recordRun(context, run, {result: 'refused', status: 0, reason});
 };
 
@@ -153,7 +153,7 @@
 	run: DeliveryRun,
 ): void => {
 	run.isQuarantined = true;
-	const standing = context.standing(run.exchange);
+	const standing = context.quarantineStatus(run.exchange);
 	const leftMs =
 		standing.kind === 'quarantined' ? standing.until - context.clock() : 0;
 	const reason =
@@ -180,14 +180,14 @@
 	reason: string,
 ): void => {
 	closeRun(context, run);
-	run.sink.breakOff();
+	run.sink.abort();
 	recordRun(context, run, {result: 'broken', status: 0, reason});
 };
 
 /**
 Ends a request for which nothing more can be done.
 */
-export const giveUpRun = (
+export const failRun = (
 	context: DeliveryContext,
 	run: DeliveryRun,
 	reason: string,
@@ -207,21 +207,21 @@
 	context: DeliveryContext,
 	run: DeliveryRun,
 ): number => {
-	if (run.hasNowhereToGo) {
+	if (run.hasNoCandidate) {
 		return longestRetryAfterSeconds;
 	}
 
-	const {clock, outlook} = context;
+	const {clock, forecast} = context;
 	const now = clock();
-	const ownSeconds = roomAfterReturnMs(context, run) / 1000;
-	const remoteSeconds = ((run.remoteRoomAt ?? Infinity) - now) / 1000;
-	outlook.refused(run.exchange.service, now);
+	const ownSeconds = retryWaitMs(context, run) / 1000;
+	const remoteSeconds = ((run.remoteAvailableAt ?? Infinity) - now) / 1000;
+	forecast.noteRefusal(run.exchange.service, now);
 	// The end of a rest is known and not predicted, however far away it is.
 	const boundedSeconds =
-		run.restUntil === undefined
+		run.backoffUntil === undefined
 			? Math.min(longestRetryAfterSeconds, ownSeconds)
 			: ownSeconds;
-	const isRemoteOnly = !run.hasServerHere && remoteSeconds < Infinity;
+	const isRemoteOnly = !run.hasLocalServer && remoteSeconds < Infinity;
 	return Math.max(
 		shortestRetryAfterSeconds,
 		isRemoteOnly ? remoteSeconds : Math.min(boundedSeconds, remoteSeconds),
--- a/src/gateway/delivery/event-relay.ts
+++ b/src/gateway/delivery/event-relay.ts
@@ -20,7 +20,7 @@
 	/**
 	Whether the stream stopped in the middle of an event.
 	*/
-	hasRest(): boolean;
+	hasPartialEvent(): boolean;
 };
 
 const lineFeed = 10;
@@ -83,7 +83,7 @@
 			rest = Buffer.alloc(0);
 		},
 		lastEventId: () => lastId,
-		hasRest: () => rest.length > 0,
+		hasPartialEvent: () => rest.length > 0,
 	};
 };
 
--- a/src/gateway/delivery/fail-call.ts
+++ b/src/gateway/delivery/fail-call.ts
@@ -7,7 +7,7 @@
 	type CurrentCall,
 	type DeliveryRun,
 } from './delivery-run.ts';
-import {closeRun, endCurrentCall, giveUpRun, recordRun} from './end-run.ts';
+import {closeRun, endCurrentCall, failRun, recordRun} from './end-run.ts';
 import type {HopResult} from './hop.ts';
 
 const gravity: Readonly<Record<Outcome, number>> = {
@@ -32,10 +32,10 @@
 	}
 
 	if (wasLocal && !fault.reachedServer) {
-		run.tried.pop();
+		run.triedServers.pop();
 	}
 
-	if (run.isDeserted) {
+	if (run.hasCallerLeft) {
 		closeRun(context, run);
 		recordRun(context, run, {
 			result: 'caller-left',
@@ -53,14 +53,14 @@
 	if (isSentAgain) {
 		context.sendOrWait(run);
 	} else {
-		giveUpRun(context, run, fault.reason);
+		failRun(context, run, fault.reason);
 	}
 };
 
 /**
 Takes in that a call broke off or was never made.
 */
-export const callBroke = (
+export const handleCallFailure = (
 	context: DeliveryContext,
 	run: DeliveryRun,
 	current: CurrentCall,
@@ -77,7 +77,7 @@
 	}
 
 	if (wasSent) {
-		noteBroken(context, run, current);
+		reportBrokenCall(context, run, current);
 	}
 
 	failCall(context, run, {
@@ -91,13 +91,13 @@
 /**
 Says that a call ended without a whole answer, if it went to a backend server.
 */
-export const noteBroken = (
-	{onBroken}: DeliveryContext,
+export const reportBrokenCall = (
+	{onCallBroken}: DeliveryContext,
 	{exchange}: DeliveryRun,
-	{server, life, sentAt}: CurrentCall,
+	{server, incarnationId, sentAt}: CurrentCall,
 ): void => {
-	if (server !== undefined && life !== undefined) {
-		onBroken(exchange, {server, life, sentAt});
+	if (server !== undefined && incarnationId !== undefined) {
+		onCallBroken(exchange, {server, incarnationId, sentAt});
 	}
 };
 
@@ -105,29 +105,40 @@
 Takes in that a node is well and its backend server is not: the node may be asked again, which spares
 a new connection.
 */
-export const notAtFault = (run: DeliveryRun, {member}: CurrentCall): void => {
+export const allowNodeAgain = (
+	run: DeliveryRun,
+	{member}: CurrentCall,
+): void => {
 	if (member) {
-		run.members.delete(member.id);
+		run.triedNodes.delete(member.id);
 	}
 };
 
 /**
 Takes in that another node refused the request.
 */
-export const nodeRefused = (
+export const handleNodeRefusal = (
 	context: DeliveryContext,
 	run: DeliveryRun,
 	current: CurrentCall,
-	{outcome, reason, tried, roomInMs}: Extract<HopResult, {kind: 'refused'}>,
+	{
+		outcome,
+		reason,
+		tried,
+		availableInMs,
+	}: Extract<HopResult, {kind: 'refused'}>,
 ): void => {
 	// Without a server that was tried, the region had no room; another node of it has none either.
 	if (tried.length > 0) {
-		notAtFault(run, current);
+		allowNodeAgain(run, current);
 	} else if (current.region !== undefined) {
-		run.regions.add(current.region);
-		if (roomInMs !== undefined) {
-			const roomAt = context.clock() + roomInMs;
-			run.remoteRoomAt = Math.min(run.remoteRoomAt ?? Infinity, roomAt);
+		run.fullRegions.add(current.region);
+		if (availableInMs !== undefined) {
+			const roomAt = context.clock() + availableInMs;
+			run.remoteAvailableAt = Math.min(
+				run.remoteAvailableAt ?? Infinity,
+				roomAt,
+			);
 		}
 	}
 
@@ -151,7 +162,8 @@
 		: run.isRepeatable || outcome === 'not-run';
 
 const isRetryPaid = (
-	{budget, clock, nodes}: DeliveryContext,
+	{budget, clock, budgetNodes}: DeliveryContext,
 	{exchange}: DeliveryRun,
 	{reachedServer}: CallFault,
-): boolean => !reachedServer || budget.take(exchange.service, nodes(), clock());
+): boolean =>
+	!reachedServer || budget.tryTake(exchange.service, budgetNodes(), clock());
--- a/src/gateway/delivery/hop.ts
+++ b/src/gateway/delivery/hop.ts
@@ -61,7 +61,7 @@
 			/**
 			When a server there may be sent a request, in milliseconds from now, where all of them rest.
 			*/
-			readonly roomInMs: number | undefined;
+			readonly availableInMs: number | undefined;
 	  };
 
 /**
@@ -160,9 +160,9 @@
 				result.outcome,
 				hopHeaders.reason,
 				result.reason.replaceAll(/[^\u{20}-\u{7E}]/gv, ' '),
-				...(result.roomInMs === undefined
+				...(result.availableInMs === undefined
 					? []
-					: [hopHeaders.roomInMs, String(Math.round(result.roomInMs))]),
+					: [hopHeaders.roomInMs, String(Math.round(result.availableInMs))]),
 			]
 		: []),
 ];
@@ -182,7 +182,7 @@
 		outcome: outcome === 'not-run' || outcome === 'ran' ? outcome : 'unknown',
 		reason: header(hopHeaders.reason) ?? 'the node gave no result',
 		tried,
-		roomInMs: parseDecimal(header(hopHeaders.roomInMs) ?? ''),
+		availableInMs: parseDecimal(header(hopHeaders.roomInMs) ?? ''),
 	};
 };
 
--- a/src/gateway/delivery/pass-answer.ts
+++ b/src/gateway/delivery/pass-answer.ts
@@ -1,7 +1,7 @@
 import {Buffer} from 'node:buffer';
 import type {UpstreamHead, UpstreamListener} from '../../backends/index.ts';
 import {forwardableHeaders} from '../wire-headers.ts';
-import {noteStatements} from './note-statements.ts';
+import {recordStatements} from './record-statements.ts';
 import type {DeliveryContext} from './delivery-context.ts';
 import {
 	hasAttemptLeft,
@@ -11,11 +11,11 @@
 import {closeRun, endCurrentCall, recordRun} from './end-run.ts';
 import {createEventRelay} from './event-relay.ts';
 import {
-	callBroke,
+	handleCallFailure,
 	failCall,
-	nodeRefused,
-	notAtFault,
-	noteBroken,
+	handleNodeRefusal,
+	allowNodeAgain,
+	reportBrokenCall,
 } from './fail-call.ts';
 import {decodeHopResult, hopHeaderNames, hopHeaders} from './hop.ts';
 import {judgeHead} from './judge-head.ts';
@@ -42,13 +42,13 @@
 	return {
 		onHead(given) {
 			// Statements of the server hold whatever has become of the request.
-			noteStatements(context, run, current, given);
+			recordStatements(context, run, current, given);
 			if (!isCurrent()) {
 				return;
 			}
 
 			head = given;
-			current.attempt?.heard(context.clock());
+			current.attempt?.recordActivity(context.clock());
 			isStream = takeHead(context, run, current, given) === 'stream';
 		},
 		onData(chunk) {
@@ -82,7 +82,7 @@
 		},
 		onFailure(failure) {
 			if (isCurrent()) {
-				callBroke(context, run, current, failure);
+				handleCallFailure(context, run, current, failure);
 			}
 		},
 	};
@@ -97,11 +97,11 @@
 	const hop = current.member ? decodeHopResult(head.header) : undefined;
 	for (const server of hop?.tried ?? []) {
 		run.excluded.add(server);
-		run.tried.push(server);
+		run.triedServers.push(server);
 	}
 
 	if (hop?.kind === 'refused') {
-		nodeRefused(context, run, current, hop);
+		handleNodeRefusal(context, run, current, hop);
 		return 'dropped';
 	}
 
@@ -112,7 +112,7 @@
 	switch (verdict.kind) {
 		case 'whole': {
 			noteRetry(context, run, head.status);
-			current.attempt?.started(context.clock());
+			current.attempt?.recordFirstEvent(context.clock());
 			return 'whole';
 		}
 
@@ -123,7 +123,7 @@
 
 		case 'fault': {
 			run.hasFaultAnswer ||= head.status >= 500;
-			notAtFault(run, current);
+			allowNodeAgain(run, current);
 			failCall(context, run, {...verdict.fault, reachedServer: true});
 			return 'dropped';
 		}
@@ -147,7 +147,7 @@
 	status: number,
 ): void => {
 	if (run.hasFaultAnswer) {
-		retryYield.note(run.exchange.route.name, status < 500);
+		retryYield.record(run.exchange.route.name, status < 500);
 	}
 };
 
@@ -169,7 +169,11 @@
 		run.relay = createEventRelay(lastEventId);
 	}
 
-	run.sink.begin(head.status, answerHeaders(run, head), run.tried.at(-1) ?? '');
+	run.sink.begin(
+		head.status,
+		answerHeaders(run, head),
+		run.triedServers.at(-1) ?? '',
+	);
 };
 
 const isReadyForMore = (
@@ -179,7 +183,7 @@
 	chunk: Buffer,
 ): boolean => {
 	const now = context.clock();
-	current.attempt?.started(now);
+	current.attempt?.recordFirstEvent(now);
 	notePiece(run, current, now);
 	const passed = run.relay ? run.relay.push(chunk) : chunk;
 	if (passed === undefined) {
@@ -187,7 +191,7 @@
 		return true;
 	}
 
-	if (passed.length === 0 || run.isDeserted || run.sink.write(passed)) {
+	if (passed.length === 0 || run.hasCallerLeft || run.sink.write(passed)) {
 		return true;
 	}
 
@@ -203,13 +207,13 @@
 	{attempt}: CurrentCall,
 	now: number,
 ): void => {
-	if (run.pieceAt !== undefined) {
-		const pauseMs = now - run.pieceAt;
+	if (run.lastChunkAt !== undefined) {
+		const pauseMs = now - run.lastChunkAt;
 		run.longestPauseMs = Math.max(run.longestPauseMs, pauseMs);
-		attempt?.paced(pauseMs, now);
+		attempt?.recordChunkInterval(pauseMs, now);
 	}
 
-	run.pieceAt = now;
+	run.lastChunkAt = now;
 };
 
 const endStream = (
@@ -217,8 +221,8 @@
 	run: DeliveryRun,
 	current: CurrentCall,
 ): void => {
-	if (run.relay?.hasRest()) {
-		noteBroken(context, run, current);
+	if (run.relay?.hasPartialEvent()) {
+		reportBrokenCall(context, run, current);
 		answerIsFaulty(context, run, 'The stream ended in the middle of an event');
 		return;
 	}
@@ -245,11 +249,11 @@
 	endCurrentCall(context, run, end, false);
 	closeRun(context, run);
 	context.onServed(run.exchange);
-	if (!run.isDeserted) {
+	if (!run.hasCallerLeft) {
 		run.sink.begin(
 			head.status,
 			[...headers, 'content-length', String(body.length)],
-			run.tried.at(-1) ?? '',
+			run.triedServers.at(-1) ?? '',
 		);
 		run.sink.end(body);
 	}
@@ -278,7 +282,7 @@
 	{current, exchange}: DeliveryRun,
 	{rawHeaders}: UpstreamHead,
 ): readonly string[] => {
-	const life = exchange.hop && current?.life;
+	const life = exchange.hop && current?.incarnationId;
 	return [
 		...forwardableHeaders(rawHeaders, hopHeaderNames),
 		...(life === undefined ? [] : [hopHeaders.life, life]),
--- a/src/gateway/delivery/peer-connections.ts
+++ b/src/gateway/delivery/peer-connections.ts
@@ -4,10 +4,10 @@
 /**
 Connections to one other node; a request holds one as long as its stream runs.
 */
-export const connectionsToPeer = 256;
+export const maximumConnectionsPerPeer = 256;
 
 /**
 Names the connections to one life of a node, for the client that keeps them.
 */
-export const peerKey = ({id, incarnation}: Member): string =>
+export const peerConnectionKey = ({id, incarnation}: Member): string =>
 	`node ${id}/${incarnation}`;
--- a/src/gateway/delivery/note-statements.ts
+++ b/src/gateway/delivery/record-statements.ts
@@ -10,7 +10,7 @@
 /**
 Takes in what the head of an answer states about the backend server that made it, also by way of another node.
 */
-export const noteStatements = (
+export const recordStatements = (
 	context: DeliveryContext,
 	run: DeliveryRun,
 	current: CurrentCall,
@@ -26,7 +26,7 @@
 
 	const {status, header} = head;
 	const receivedAt = clock();
-	const {load} = statements.heard({
+	const {load} = statements.handle({
 		...origin,
 		sentAt: current.sentAt,
 		receivedAt,
@@ -35,29 +35,36 @@
 		header,
 	});
 	if (origin.source === 'answer') {
-		context.standings.rests.answered(origin.life, receivedAt);
+		context.announcements.backoffs.recordAnswer(
+			origin.incarnationId,
+			receivedAt,
+		);
 	}
 
 	if (load && !without.has('stated-load')) {
-		current.attempt?.stated(load, receivedAt);
+		current.attempt?.recordStatedLoad(load, receivedAt);
 	}
 };
 
-type Origin = Pick<StatedAnswer, 'server' | 'life' | 'source'>;
+type Origin = Pick<StatedAnswer, 'server' | 'incarnationId' | 'source'>;
 
 const directOrigin = (
 	{headers}: DeliveryContext,
 	{exchange}: DeliveryRun,
-	{life, server}: CurrentCall,
+	{incarnationId, server}: CurrentCall,
 	{header}: UpstreamHead,
 ): Origin | undefined => {
-	if (life === undefined || server === undefined) {
+	if (incarnationId === undefined || server === undefined) {
 		return undefined;
 	}
 
 	const isExpected = header(headers.requestId) === exchange.requestId;
 	const isRefusal = header(headers.notRun) !== undefined;
-	return {server, life, source: sourceOf(isExpected, isRefusal)};
+	return {
+		server,
+		incarnationId,
+		source: sourceOf(isExpected, isRefusal),
+	};
 };
 
 const sourceOf = (isExpected: boolean, isRefusal: boolean): AnswerSource =>
@@ -65,9 +72,9 @@
 
 // A refusal of the other node is no answer of a server.
 const relayedOrigin = ({header}: UpstreamHead): Origin | undefined => {
-	const life = header(hopHeaders.life);
+	const incarnationId = header(hopHeaders.life);
 	const server = decodeHopResult(header).tried.at(-1);
-	return life === undefined || server === undefined
+	return incarnationId === undefined || server === undefined
 		? undefined
-		: {server, life, source: 'relayed answer'};
+		: {server, incarnationId, source: 'relayed answer'};
 };
--- a/src/gateway/delivery/waiting-requests.ts
+++ b/src/gateway/delivery/request-queue.ts
@@ -1,33 +1,33 @@
 /**
 A request that waits until a backend server has room.
 */
-export type WaitingRequest = {
+export type QueuedRequest = {
 	/**
 	0 is the most urgent.
 	*/
 	readonly priority: number;
-	readonly since: number;
+	readonly queuedAt: number;
 	/**
 	When an answer comes late, by the node's clock in milliseconds.
 	*/
-	readonly lateAt: number;
+	readonly targetAt: number;
 	/**
 	When it is refused at the latest.
 	*/
-	readonly until: number;
+	readonly expiresAt: number;
 	readonly service: string;
 	/**
 	Requests with the same key have the same servers to go to.
 	*/
-	readonly roomKey: string;
+	readonly placementKey: string;
 	/**
 	Milliseconds until it is likely to get room if so many go before it.
 	*/
-	readonly roomInMs: (before: number) => number;
+	readonly capacityWaitMs: (before: number) => number;
 	/**
 	Tries to send it; false while there is still no room.
 	*/
-	readonly attempt: () => boolean;
+	readonly trySend: () => boolean;
 	readonly giveUp: () => void;
 };
 
@@ -35,13 +35,13 @@
 Requests in the order of their urgency; of equals those first that may still come in time, and then those
 that came first.
 */
-export type WaitingRequests = {
-	add(request: WaitingRequest): void;
-	leave(request: WaitingRequest): void;
+export type RequestQueue = {
+	add(request: QueuedRequest): void;
+	remove(request: QueuedRequest): void;
 	/**
 	Sends those for which there is room.
 	*/
-	pump(now: number): void;
+	dispatch(now: number): void;
 	/**
 	Refuses those that have waited for as long as they may, and those that will not get room in time.
 
@@ -49,23 +49,23 @@
 	*/
 	expire(
 		now: number,
-		isHopeless: (request: WaitingRequest, before: number) => boolean,
+		isHopeless: (request: QueuedRequest, before: number) => boolean,
 	): void;
 	/**
 	How many requests of a service go before a new one of this priority.
 	*/
-	before(service: string, priority: number): number;
+	countAhead(service: string, priority: number): number;
 	length(): number;
 };
 
 /**
 Builds an empty line.
 */
-export const createWaitingRequests = (): WaitingRequests => {
-	let line: readonly WaitingRequest[] = [];
+export const createRequestQueue = (): RequestQueue => {
+	let line: readonly QueuedRequest[] = [];
 	let isPumping = false;
 
-	const leave = (request: WaitingRequest) => {
+	const remove = (request: QueuedRequest) => {
 		line = line.filter((each) => each !== request);
 	};
 
@@ -73,8 +73,8 @@
 		add(request) {
 			line = [...line, request];
 		},
-		leave,
-		pump(now) {
+		remove,
+		dispatch(now) {
 			// An attempt may free a place at once and so call back in here.
 			if (isPumping || line.length === 0) {
 				return;
@@ -86,14 +86,14 @@
 			// servers: under load the line is long and is gone through at every end of a request.
 			const full = new Set<string>();
 			for (const request of line) {
-				if (full.has(request.roomKey)) {
+				if (full.has(request.placementKey)) {
 					continue;
 				}
 
-				if (request.attempt()) {
-					leave(request);
+				if (request.trySend()) {
+					remove(request);
 				} else {
-					full.add(request.roomKey);
+					full.add(request.placementKey);
 				}
 			}
 
@@ -103,15 +103,15 @@
 			const before = new Map<string, number>();
 			for (const request of inOrder(line, now)) {
 				const count = before.get(request.service) ?? 0;
-				if (request.until <= now || isHopeless(request, count)) {
-					leave(request);
+				if (request.expiresAt <= now || isHopeless(request, count)) {
+					remove(request);
 					request.giveUp();
 				} else {
 					before.set(request.service, count + 1);
 				}
 			}
 		},
-		before: (service, priority) =>
+		countAhead: (service, priority) =>
 			line.filter(
 				(each) => each.service === service && each.priority <= priority,
 			).length,
@@ -121,16 +121,16 @@
 
 // Who is late already stands back: served before the others it would make those late too.
 const inOrder = (
-	line: readonly WaitingRequest[],
+	line: readonly QueuedRequest[],
 	now: number,
-): readonly WaitingRequest[] => {
-	const rankOf = ({lateAt}: WaitingRequest) => (lateAt <= now ? 1 : 0);
+): readonly QueuedRequest[] => {
+	const rankOf = ({targetAt}: QueuedRequest) => (targetAt <= now ? 1 : 0);
 	return line.toSorted((left, right) => {
 		const byPriority = left.priority - right.priority;
 		const byRank = rankOf(left) - rankOf(right);
 		return byPriority === 0
 			? byRank === 0
-				? left.since - right.since
+				? left.queuedAt - right.queuedAt
 				: byRank
 			: byPriority;
 	});
--- a/src/gateway/delivery/send-run.ts
+++ b/src/gateway/delivery/send-run.ts
@@ -1,19 +1,27 @@
 import {
-	farConnectTimeoutMs,
-	nearConnectTimeoutMs,
+	peerConnectTimeoutMs,
+	backendConnectTimeoutMs,
 	type Placement,
 	type UpstreamCall,
 } from '../../backends/index.ts';
 import type {Member} from '../../membership/index.ts';
-import {lifeOf} from '../../registry/index.ts';
+import {incarnationIdOf} from '../../registry/index.ts';
 import {lastEventIdHeader, leastUrgent} from '../wire-headers.ts';
 import type {DeliveryContext} from './delivery-context.ts';
 import type {CurrentCall, DeliveryRun} from './delivery-run.ts';
-import {giveUpRun, leaveLine, refuseQuarantined, refuseRun} from './end-run.ts';
+import {failRun, leaveQueue, refuseQuarantined, refuseRun} from './end-run.ts';
 import {encodeHopCall} from './hop.ts';
-import {connectionsToPeer, peerKey} from './peer-connections.ts';
+import {
+	maximumConnectionsPerPeer,
+	peerConnectionKey,
+} from './peer-connections.ts';
 import {createAnswerListener} from './pass-answer.ts';
-import {canWaitHere, isHoldable, noRoom, waitForRoom} from './wait-for-room.ts';
+import {
+	canWaitHere,
+	canBeHeldBack,
+	noCapacityReason,
+	waitForCapacity,
+} from './wait-for-capacity.ts';
 
 /**
 Sends a request to the best place that it may still go to. Without room anywhere it waits for as long as it
@@ -31,20 +39,20 @@
 
 	const isSentNow = () => trySend(context, run) === 'sent';
 	if (sent === 'held') {
-		waitForRoom(context, run, isSentNow);
+		waitForCapacity(context, run, isSentNow);
 		return;
 	}
 
-	const hasNoPlace = sent === 'none' && run.regions.size === 0;
-	run.hasNowhereToGo = hasNoPlace && run.excluded.size === 0;
+	const hasNoPlace = sent === 'none' && run.fullRegions.size === 0;
+	run.hasNoCandidate = hasNoPlace && run.excluded.size === 0;
 	const {hop} = run.exchange;
 	const isWanted = hop ? hop.canWait : !context.without.has('waiting');
 	if (!isWanted || !canWaitHere(context, run, hasNoPlace)) {
-		giveUpRun(context, run, run.hasNowhereToGo ? noServer : noRoom);
+		failRun(context, run, run.hasNoCandidate ? noServer : noCapacityReason);
 		return;
 	}
 
-	waitForRoom(context, run, isSentNow);
+	waitForCapacity(context, run, isSentNow);
 };
 
 const noServer = 'No backend server that may serve it is in use';
@@ -63,13 +71,13 @@
 		return 'sent';
 	}
 
-	const standing = context.standing(run.exchange);
+	const standing = context.quarantineStatus(run.exchange);
 	if (standing.kind === 'quarantined') {
 		refuseQuarantined(context, run);
 		return 'sent';
 	}
 
-	const canBeHeld = isHoldable(context, run);
+	const canBeHeld = canBeHeldBack(context, run);
 	if (canBeHeld && standing.kind === 'pending') {
 		return 'held';
 	}
@@ -78,18 +86,19 @@
 	const isOutranked = isOutrankedInLine(context, run);
 	const placement =
 		isIsolated || isOutranked
-			? {...run.placement, isIsolated, isOutranked}
+			? {...run.placement, isIsolated, hasMoreUrgentWaiter: isOutranked}
 			: run.placement;
 	const choice = context.choose(
 		run.exchange,
-		{regions: run.regions, members: run.members},
+		{regions: run.fullRegions, members: run.triedNodes},
 		placement,
 		context.clock(),
 	);
-	run.hasServerHere = choice.kind === 'full';
-	const restLeftMs = choice.kind === 'full' ? choice.restLeftMs : undefined;
-	run.roomPerSecond = choice.kind === 'full' ? choice.perSecond : undefined;
-	run.restUntil =
+	run.hasLocalServer = choice.kind === 'full';
+	const restLeftMs =
+		choice.kind === 'full' ? choice.backoffRemainingMs : undefined;
+	run.allowedPerSecond = choice.kind === 'full' ? choice.perSecond : undefined;
+	run.backoffUntil =
 		restLeftMs === undefined ? undefined : context.clock() + restLeftMs;
 	if (isIsolated && choice.kind === 'full') {
 		return 'held';
@@ -97,13 +106,13 @@
 
 	switch (choice.kind) {
 		case 'server': {
-			leaveLine(context, run);
+			leaveQueue(context, run);
 			callServer(context, run, choice.id, placement);
 			return 'sent';
 		}
 
 		case 'peer': {
-			leaveLine(context, run);
+			leaveQueue(context, run);
 			callNode(context, run, choice.member, choice.region);
 			return 'sent';
 		}
@@ -118,11 +127,11 @@
 // A limited server takes few requests: those that wait for it are not to be overtaken by less urgent ones, nor by new ones
 // that are as urgent.
 const isOutrankedInLine = (
-	{line, backendLimits}: DeliveryContext,
-	{exchange: {service, route}, waiting}: DeliveryRun,
+	{queue, backendLimits}: DeliveryContext,
+	{exchange: {service, route}, queued}: DeliveryRun,
 ): boolean =>
-	backendLimits.areThere() &&
-	line.before(service, waiting ? route.priority - 1 : route.priority) > 0;
+	backendLimits.hasAny() &&
+	queue.countAhead(service, queued ? route.priority - 1 : route.priority) > 0;
 
 const keyTaken = 'The client key was taken away while the request waited';
 
@@ -145,18 +154,25 @@
 	id: string,
 	placement: Placement,
 ): void => {
-	const {clock, connectionsTo, fleet, headers, canReceive, standings, without} =
-		context;
+	const {
+		clock,
+		connectionShare,
+		fleet,
+		headers,
+		canReceive,
+		announcements,
+		without,
+	} = context;
 	const sentAt = clock();
 	const server = fleet.server(id)!;
 	const attempt = fleet.begin(id, placement, sentAt);
-	const life = lifeOf(server);
-	standings.sent(life, sentAt);
+	const incarnationId = incarnationIdOf(server);
+	announcements.recordSend(incarnationId, sentAt);
 	run.excluded.add(id);
-	run.tried.push(id);
+	run.triedServers.push(id);
 	run.steps.push(`server ${id}`);
 	const {client, service} = run.exchange;
-	const connections = connectionsTo(service, id);
+	const connections = connectionShare(service, id);
 	const urgency = Math.min(leastUrgent, run.exchange.route.priority);
 	startCall(
 		context,
@@ -164,7 +180,7 @@
 		{
 			attempt,
 			server: id,
-			life,
+			incarnationId,
 			sentAt,
 			member: undefined,
 			region: undefined,
@@ -173,9 +189,9 @@
 			key: `server ${id}`,
 			address: server.address,
 			maximumConnections: connections.maximum,
-			isLastOnConnection: !connections.isKept,
-			canBegin: () => canReceive(id, life),
-			connectTimeoutMs: nearConnectTimeoutMs,
+			isLastOnConnection: !connections.isPersistent,
+			canBegin: () => canReceive(id, incarnationId),
+			connectTimeoutMs: backendConnectTimeoutMs,
 			headers: onwardHeaders(context, run, [
 				headers.expectedServer,
 				id,
@@ -193,7 +209,7 @@
 	region: string,
 ): void => {
 	const {exchange} = run;
-	run.members.add(member.id);
+	run.triedNodes.add(member.id);
 	run.steps.push(`node ${member.id} in ${region}`);
 	const hopCall = encodeHopCall({
 		origin: context.self,
@@ -211,16 +227,16 @@
 		{
 			attempt: undefined,
 			server: undefined,
-			life: undefined,
+			incarnationId: undefined,
 			sentAt: context.clock(),
 			member,
 			region,
 		},
 		{
-			key: peerKey(member),
+			key: peerConnectionKey(member),
 			address: member.peerAddress,
-			maximumConnections: connectionsToPeer,
-			connectTimeoutMs: farConnectTimeoutMs,
+			maximumConnections: maximumConnectionsPerPeer,
+			connectTimeoutMs: peerConnectTimeoutMs,
 			headers: onwardHeaders(context, run, hopCall),
 		},
 	);
--- a/src/gateway/delivery/server-probes.ts
+++ b/src/gateway/delivery/server-probes.ts
@@ -1,10 +1,10 @@
 import type {BackendFleet, UpstreamClient} from '../../backends/index.ts';
 import type {Logger} from '../../logging/index.ts';
-import {lifeOf} from '../../registry/index.ts';
+import {incarnationIdOf} from '../../registry/index.ts';
 import type {BackendLimits} from '../../backend-limits/index.ts';
 import type {
-	ServerRests,
-	StatementIntake,
+	ServerBackoffs,
+	StatementHandler,
 } from '../../server-statements/index.ts';
 import type {WireHeaders} from '../wire-headers.ts';
 import {isMisdirected} from './judge-head.ts';
@@ -16,7 +16,7 @@
 	/**
 	Asks a server at once, whatever is believed of it.
 	*/
-	ask(server: string): void;
+	probeNow(server: string): void;
 	tick(now: number): void;
 };
 
@@ -41,15 +41,15 @@
 	/**
 	The limits that backend servers name.
 	*/
-	readonly backendLimits: Pick<BackendLimits, 'sent'>;
+	readonly backendLimits: Pick<BackendLimits, 'recordSend'>;
 	/**
 	The rests that servers asked this node for.
 	*/
-	readonly rests: Pick<ServerRests, 'leftMs'>;
+	readonly rests: Pick<ServerBackoffs, 'remainingMs'>;
 	/**
 	Takes in what servers state in their answers.
 	*/
-	readonly statements: StatementIntake;
+	readonly statements: StatementHandler;
 };
 
 /**
@@ -80,14 +80,14 @@
 			return;
 		}
 
-		const life = lifeOf(server);
+		const incarnationId = incarnationIdOf(server);
 		const sentAt = clock();
 		// The refusal that asked for the rest has shown that the server lives.
-		if (rests.leftMs(life, sentAt) > 0) {
+		if (rests.remainingMs(incarnationId, sentAt) > 0) {
 			return;
 		}
 
-		backendLimits.sent(life, sentAt);
+		backendLimits.recordSend(incarnationId, sentAt);
 		// A key of its own, for the connections of requests may be dead.
 		const key = `probe ${id}`;
 		const call = client.call(
@@ -100,14 +100,14 @@
 				target: options.healthPath(server.service),
 				headers: ['host', server.address, headers.expectedServer, id],
 				body: undefined,
-				canBegin: () => rests.leftMs(life, clock()) === 0,
+				canBegin: () => rests.remainingMs(incarnationId, clock()) === 0,
 			},
 			{
 				onHead({status, header}) {
 					const isSound = status === 200 && header(headers.serverId) === id;
-					const {coldMs = 0} = statements.heard({
+					const {coldMs = 0} = statements.handle({
 						server: id,
-						life,
+						incarnationId,
 						source: 'health check',
 						sentAt,
 						receivedAt: clock(),
@@ -117,10 +117,10 @@
 						header,
 					});
 					if (isMisdirected(status)) {
-						options.onGone(life);
+						options.onGone(incarnationId);
 					} else {
-						options.onAlive(life);
-						fleet.vouched(id, clock());
+						options.onAlive(incarnationId);
+						fleet.recordProbeAnswer(id, clock());
 					}
 
 					// Connections from before the fault may be dead without a reset.
@@ -129,7 +129,7 @@
 						client.forget(`server ${id}`);
 					}
 
-					fleet.probed(id, isSound ? coldMs : undefined, clock());
+					fleet.recordProbeResult(id, isSound ? coldMs : undefined, clock());
 				},
 				onData: () => true,
 				onEnd() {
@@ -138,7 +138,7 @@
 				onFailure({isRefused}) {
 					finish();
 					if (isRefused) {
-						options.onGone(life);
+						options.onGone(incarnationId);
 					}
 				},
 			},
@@ -154,7 +154,7 @@
 	};
 
 	return {
-		ask: probe,
+		probeNow: probe,
 		tick(now) {
 			for (const id of fleet.dueProbes(now)) {
 				probe(id);
--- a/src/gateway/delivery/wait-for-room.ts
+++ b/src/gateway/delivery/wait-for-capacity.ts
@@ -1,13 +1,13 @@
 import type {DeliveryContext} from './delivery-context.ts';
 import type {DeliveryRun} from './delivery-run.ts';
-import {giveUpRun} from './end-run.ts';
-import {roomInMs} from './room-in.ts';
-import type {WaitingRequest} from './waiting-requests.ts';
+import {failRun} from './end-run.ts';
+import {capacityWaitMs} from './capacity-wait.ts';
+import type {QueuedRequest} from './request-queue.ts';
 
 /**
 Why a request is refused that found no room.
 */
-export const noRoom = 'No backend server has room';
+export const noCapacityReason = 'No backend server has room';
 
 /**
 Lets a request wait in the line.
@@ -16,14 +16,14 @@
 @param run The request.
 @param isSentNow Tries to send it; false while there is still no room.
 */
-export const waitForRoom = (
+export const waitForCapacity = (
 	context: DeliveryContext,
 	run: DeliveryRun,
 	isSentNow: () => boolean,
 ): void => {
-	const waiting = createWaitingRequest(context, run, isSentNow);
-	run.waiting = waiting;
-	context.line.add(waiting);
+	const queued = createWaitingRequest(context, run, isSentNow);
+	run.queued = queued;
+	context.queue.add(queued);
 	context.onWaiting();
 };
 
@@ -36,42 +36,43 @@
 	run: DeliveryRun,
 	hasNoPlace: boolean,
 ): boolean => {
-	const {clock, hasSettled, line} = context;
+	const {clock, hasSettled, queue} = context;
 	if (run.hasBegun) {
 		return true;
 	}
 
 	// Where all servers of another region rest and there is none here, the end of the rest is known.
-	const isRemoteOnly = !run.hasServerHere && run.remoteRoomAt !== undefined;
+	const isRemoteOnly =
+		!run.hasLocalServer && run.remoteAvailableAt !== undefined;
 	if (isRemoteOnly || (hasNoPlace && hasSettled())) {
 		return false;
 	}
 
 	const now = clock();
 	const {service, route} = run.exchange;
-	const before = line.before(service, route.priority);
-	return now + roomInMs(context, run, before) < lastStart(context, run);
+	const before = queue.countAhead(service, route.priority);
+	return now + capacityWaitMs(context, run, before) < lastStart(context, run);
 };
 
 /**
 How long a request that was at a crash waits for a server without another such request at the most, in milliseconds. The
 longer it waits, the fewer others are lost beside one that crashes servers, and the more of them come late.
 */
-export const isolationPatienceMs = 1000;
+export const maximumIsolationWaitMs = 1000;
 
 /**
 Whether a request may be held back for others that were at a crash. One that another node sent here may know a better place
 than a line, and that node holds it back itself; none is held beyond the moment from which it would not end in time.
 */
-export const isHoldable = (
+export const canBeHeldBack = (
 	context: DeliveryContext,
 	run: DeliveryRun,
 ): boolean => {
 	const now = context.clock();
-	const {exchange, waiting} = run;
+	const {exchange, queued} = run;
 	return (
 		(exchange.hop?.canWait ?? true) &&
-		(!waiting || now - waiting.since < isolationPatienceMs) &&
+		(!queued || now - queued.queuedAt < maximumIsolationWaitMs) &&
 		now < lastStart(context, run)
 	);
 };
@@ -80,33 +81,34 @@
 	context: DeliveryContext,
 	run: DeliveryRun,
 	isSentNow: () => boolean,
-): WaitingRequest => {
+): QueuedRequest => {
 	const now = context.clock();
 	const {route, service, receivedAt} = run.exchange;
 	return {
 		priority: route.priority,
-		since: now,
-		lateAt: receivedAt + route.targetLatencyMs,
-		until: lastStart(context, run),
+		queuedAt: now,
+		targetAt: receivedAt + route.targetLatencyMs,
+		expiresAt: lastStart(context, run),
 		service,
-		roomKey: roomKeyOf(context, run),
-		roomInMs: (before) => roomInMs(context, run, before),
-		attempt: isSentNow,
+		placementKey: roomKeyOf(context, run),
+		capacityWaitMs: (before) => capacityWaitMs(context, run, before),
+		trySend: isSentNow,
 		giveUp() {
 			run.steps.push('gave-up-waiting');
-			giveUpRun(context, run, noRoom);
+			failRun(context, run, noCapacityReason);
 		},
 	};
 };
 
 // A request that was at a crash has other servers to go to than the others.
 const roomKeyOf = (
-	{standing}: DeliveryContext,
-	{exchange, excluded, regions}: DeliveryRun,
+	{quarantineStatus}: DeliveryContext,
+	{exchange, excluded, fullRegions}: DeliveryRun,
 ): string => {
-	const own = standing(exchange).kind === 'clear' ? [] : [exchange.requestId];
+	const own =
+		quarantineStatus(exchange).kind === 'clear' ? [] : [exchange.requestId];
 	const {service, route} = exchange;
-	return [service, route.name, ...excluded, ...regions, ...own].join(' ');
+	return [service, route.name, ...excluded, ...fullRegions, ...own].join(' ');
 };
 
 // The part of a route's requests that are to end in time if they start at the last moment. With half of them,
@@ -126,6 +128,6 @@
 	}
 
 	const usualMs =
-		durations.within(route.name, endedPart) ?? (expiresAt - receivedAt) / 2;
+		durations.quantileMs(route.name, endedPart) ?? (expiresAt - receivedAt) / 2;
 	return expiresAt - usualMs;
 };
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -75,7 +75,7 @@
 /**
 How an answer leaves this node.
 */
-export type AnswerSink = {
+export type ResponseSink = {
 	/**
 	Sends the head.
 
@@ -90,17 +90,17 @@
 	/**
 	Ends the connection without an end of the answer.
 	*/
-	breakOff(): void;
+	abort(): void;
 	/**
 	Refuses the request.
 
 	@param tried The backend servers that it was sent to.
-	@param roomInMs When a server may be sent it, where that is known and not predicted; for another node.
+	@param availableInMs When a server may be sent it, where that is known and not predicted; for another node.
 	*/
 	refuse(
 		error: GatewayError,
 		tried: readonly string[],
-		roomInMs?: number,
+		availableInMs?: number,
 	): void;
 	onDrain(resume: () => void): void;
 };
--- a/src/gateway/gateway-observer.ts
+++ b/src/gateway/gateway-observer.ts
@@ -42,7 +42,7 @@
 	/**
 	Age of the routes and of the registry's copy, in milliseconds, for log lines.
 	*/
-	readonly inputs: () => Readonly<Record<string, number | string>>;
+	readonly logContext: () => Readonly<Record<string, number | string>>;
 	/**
 	How the client accounts stand that have a limit.
 	*/
@@ -91,18 +91,23 @@
 		labelNames: ['client', 'verdict'],
 		registers: [registry],
 	});
-	registerLimitGauge(registry, 'part', options, ({part}) => part);
+	registerLimitGauge(
+		registry,
+		'part',
+		options,
+		({admissionFraction}) => admissionFraction,
+	);
 	registerLimitGauge(
 		registry,
 		'asked_per_second',
 		options,
-		({usage}) => usage.asked,
+		({usage}) => usage.requested,
 	);
 	registerLimitGauge(
 		registry,
 		'passed_in_window',
 		options,
-		({usage}) => usage.passed,
+		({usage}) => usage.admitted,
 	);
 	const quarantineRefusals = new Counter({
 		name: 'quillford_quarantine_refusals_total',
@@ -211,7 +216,7 @@
 			longestPauseMs: rounded(record.longestPauseMs),
 			totalMs: rounded(record.totalMs),
 			targetMs: exchange.route.targetLatencyMs,
-			...options.inputs(),
+			...options.logContext(),
 		};
 		if (record.result === 'answered') {
 			logger.info(facts, 'request answered');
@@ -256,7 +261,7 @@
 			if (linesLeft > 0) {
 				linesLeft -= 1;
 				logger.warn(
-					{requestId, reason, status, ...options.inputs()},
+					{requestId, reason, status, ...options.logContext()},
 					'request rejected',
 				);
 			} else {
--- a/src/gateway/gateway-options.ts
+++ b/src/gateway/gateway-options.ts
@@ -1,5 +1,5 @@
 import type {Logger} from '../logging/index.ts';
-import type {Without} from '../mechanisms/index.ts';
+import type {DisabledMechanisms} from '../mechanisms/index.ts';
 import type {CacheSource} from '../prompts/index.ts';
 import type {RegistrySource} from '../registry/index.ts';
 import type {Address, ClockSources} from '../shared/index.ts';
@@ -38,7 +38,7 @@
 	/**
 	What is switched off, to see what it is worth.
 	*/
-	readonly without: Without;
+	readonly without: DisabledMechanisms;
 	readonly logger: Logger;
 	/**
 	What time is measured by; the clocks of this machine where it is left out.
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,15 +1,15 @@
 import type {Address} from '../shared/index.ts';
 import {createConnectionWarmer, createServerProbes} from './delivery/index.ts';
 import {
-	entriesFor,
+	selectEntryMembers,
 	createGatewayListeners,
-	createGuideLog,
+	createRegionFailoverLog,
 } from './intake/index.ts';
 import type {GatewayOptions} from './gateway-options.ts';
 import {
-	createLoadStatement,
+	createLoadPublisher,
 	createNodeJoiner,
-	createNodeKnowledge,
+	createNodeState,
 } from './sharing/index.ts';
 import {createRequestHandling} from './request-handling.ts';
 import {createTickSchedule, gatewayTickMs} from './tick-schedule.ts';
@@ -41,18 +41,18 @@
 */
 export const createGateway = (options: GatewayOptions): Gateway => {
 	const {logger, headers, without} = options;
-	const knowledge = createNodeKnowledge(options, {
+	const knowledge = createNodeState(options, {
 		onLimits(limits) {
-			listeners.limit(limits);
+			listeners.setLimits(limits);
 		},
-		onTakenIn() {
-			intake.routesCame();
+		onChangesApplied() {
+			intake.onRoutesAvailable();
 		},
-		onDoubt(server) {
-			probes.ask(server);
+		onProbeNeeded(server) {
+			probes.probeNow(server);
 		},
 		onQuarantined(fingerprint) {
-			deliveries.quarantined(fingerprint);
+			deliveries.cancelQuarantined(fingerprint);
 		},
 		onBadStatement(server, fault) {
 			observer.badStatement(server, fault);
@@ -60,11 +60,11 @@
 	});
 	const {
 		clock,
-		ownRegion,
+		localRegion,
 		mirror,
 		registry,
 		mesh,
-		questions,
+		peerClient,
 		prompts,
 		limits,
 		fleet,
@@ -72,7 +72,7 @@
 		quarantine,
 		backendLimits,
 		statements,
-		standings,
+		announcements,
 		leavingBroadcast,
 	} = knowledge;
 	const {intake, deliveries, observer, admission} = createRequestHandling(
@@ -94,11 +94,11 @@
 		healthPath: (service) =>
 			mirror.routes()?.service(service)?.healthPath ?? '/',
 		onGone(life) {
-			quarantine.refused(life, clock());
+			quarantine.connectionRefused(life, clock());
 		},
-		onAlive: quarantine.acquitted,
+		onAlive: quarantine.crashRuledOut,
 		backendLimits,
-		rests: standings.rests,
+		rests: announcements.backoffs,
 		statements,
 	});
 
@@ -108,20 +108,20 @@
 	];
 	const joiner = createNodeJoiner({
 		mesh,
-		questions,
+		peerClient,
 		seeds: options.seeds,
 		ownAddresses: peerAddresses,
 		random: knowledge.random,
 	});
-	const loadStatement = createLoadStatement(mesh, fleet, mirror);
+	const loadStatement = createLoadPublisher(mesh, fleet, mirror);
 	const warmer = createConnectionWarmer({
 		client,
-		otherRegions: knowledge.regions.filter((region) => region !== ownRegion),
+		otherRegions: knowledge.regions.filter((region) => region !== localRegion),
 		membersIn: mesh.usableIn,
 		random: knowledge.random,
 	});
 
-	const guide = createGuideLog({
+	const guide = createRegionFailoverLog({
 		logger,
 		regionOf: knowledge.regionOf,
 		members: () => [mesh.self(), ...mesh.others()],
@@ -133,13 +133,13 @@
 		registry.tick(now);
 		for (const server of fleet.tick(now)) {
 			logger.warn({server}, 'backend server silent');
-			deliveries.serverSilent(server);
+			deliveries.serverStoppedResponding(server);
 		}
 
 		probes.tick(now);
 		quarantine.tick(now);
 		backendLimits.tick(now);
-		standings.tick(now);
+		announcements.tick(now);
 		leavingBroadcast.tick(now);
 		prompts.tick();
 		limits.tick(now);
@@ -152,7 +152,7 @@
 		}
 	};
 
-	const ticks = createTickSchedule(deliveries.waiting, tick, clock);
+	const ticks = createTickSchedule(deliveries.queuedCount, tick, clock);
 
 	let isLeaving = false;
 	const listeners = createGatewayListeners({
@@ -162,12 +162,12 @@
 			registryAfter: registry.answer,
 			relayedAfter: registry.relayedAnswer,
 			promptsAfter: prompts.answer,
-			onForwarded: intake.takeForwarded,
+			onForwarded: intake.handleForwarded,
 		},
 		callers: {
 			address: options.callerAddress,
 			isLeaving: () => isLeaving,
-			onRequest: intake.take,
+			onRequest: intake.handle,
 			onUnreadable(reason) {
 				observer.rejected('', `unreadable: ${reason}`, 400);
 			},
@@ -194,7 +194,11 @@
 			ticks.start();
 			joiner.askNow();
 			logger.info(
-				{node: options.id, ownRegion, without: [...without].join(' ')},
+				{
+					node: options.id,
+					ownRegion: localRegion,
+					without: [...without].join(' '),
+				},
 				'gateway started',
 			);
 		},
@@ -207,7 +211,7 @@
 			await new Promise((resolve) => {
 				setTimeout(resolve, Math.min(settleMs, timeoutMs));
 			});
-			listeners.finish();
+			listeners.drain();
 			return isIdleWithin(timeoutMs - (clock() - leftAt));
 		},
 		async stop() {
@@ -218,15 +222,16 @@
 				registry.stop(),
 				mesh.stop(),
 				listeners.close(),
-				questions.close(),
+				peerClient.close(),
 				client.close(),
 			]);
 		},
 		isReady: () => !isLeaving && mirror.routes() !== undefined,
 		entryAddresses(region, availabilityZone) {
-			const named = entriesFor({
+			const named = selectEntryMembers({
 				members: [mesh.self(), ...mesh.others()].filter(
-					(member) => member.status === 'alive' || mesh.isLeavingLately(member),
+					(member) =>
+						member.status === 'alive' || mesh.isRecentlyLeaving(member),
 				),
 				regionOf: knowledge.regionOf,
 				homeRoutes: (home) =>
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -4,8 +4,8 @@
 export {joinIntervalMs, rejoinIntervalMs} from './sharing/index.ts';
 export {
 	assumedNodes,
-	connectionPart,
-	minimumSharers,
+	connectionFraction as connectionPart,
+	minimumSharingNodes as minimumSharers,
 	settlingMs,
 } from './sharing/index.ts';
 export {freshRoutesMs} from './request-handling.ts';
--- a/src/gateway/intake/bind-client.ts
+++ b/src/gateway/intake/bind-client.ts
@@ -4,7 +4,7 @@
 import {sha256} from '../../shared/index.ts';
 import type {Exchange, RequestClient} from '../exchange.ts';
 import type {WireHeaders} from '../wire-headers.ts';
-import type {ReadRequest} from './front-listener.ts';
+import type {ReceivedRequest} from './caller-listener.ts';
 
 /**
 A route as it holds for the account of a request.
@@ -55,7 +55,7 @@
 /**
 Takes over the account that another node found by newer routes; this one may not know it at all.
 */
-export const bindStated = (
+export const bindForwardedClient = (
 	{clients}: RouteTable,
 	route: Route,
 	client: RequestClient | undefined,
@@ -93,7 +93,7 @@
 The digest by which the caller's key is looked up; undefined where there is none.
 */
 export const keyDigestOf = (
-	request: ReadRequest,
+	request: ReceivedRequest,
 	{clientKey}: WireHeaders,
 ): string | undefined => {
 	const key = request.header(clientKey);
--- a/src/gateway/intake/front-listener.ts
+++ b/src/gateway/intake/caller-listener.ts
@@ -17,12 +17,12 @@
 	type Address,
 } from '../../shared/index.ts';
 import type {CallerLimits} from '../../routes/index.ts';
-import type {AnswerSink} from '../exchange.ts';
+import type {ResponseSink} from '../exchange.ts';
 
 /**
 A request that was read whole.
 */
-export type ReadRequest = {
+export type ReceivedRequest = {
 	readonly method: string;
 	readonly target: string;
 	readonly host: string;
@@ -38,22 +38,22 @@
 /**
 Takes requests from callers.
 */
-export type FrontListener = {
+export type CallerListener = {
 	/**
 	Takes over the bounds of a new configuration.
 	*/
-	limit(limits: CallerLimits): void;
+	setLimits(limits: CallerLimits): void;
 	/**
 	Closes connections as they become idle, and takes no new ones.
 	*/
-	finish(): void;
+	drain(): void;
 	close(): Promise<void>;
 };
 
 /**
 What a listener for callers is built from.
 */
-export type FrontListenerOptions = {
+export type CallerListenerOptions = {
 	readonly address: Address;
 	/**
 	Bounds before the first configuration.
@@ -66,7 +66,10 @@
 	/**
 	Handles a request; returns what to call when the caller closes its connection.
 	*/
-	readonly onRequest: (request: ReadRequest, sink: AnswerSink) => () => void;
+	readonly onRequest: (
+		request: ReceivedRequest,
+		sink: ResponseSink,
+	) => () => void;
 	readonly onUnreadable: (reason: string) => void;
 };
 
@@ -79,9 +82,9 @@
 /**
 Starts listening for callers.
 */
-export const startFrontListener = async (
-	options: FrontListenerOptions,
-): Promise<FrontListener> => {
+export const startCallerListener = async (
+	options: CallerListenerOptions,
+): Promise<CallerListener> => {
 	let {limits} = options;
 	const server = createServer(
 		{
@@ -107,7 +110,10 @@
 					return;
 				}
 
-				onCallerLeft(response, options.onRequest(toRead(request, body), sink));
+				onCallerLeft(
+					response,
+					options.onRequest(toReceivedRequest(request, body), sink),
+				);
 			});
 		},
 	);
@@ -122,12 +128,12 @@
 	});
 
 	return {
-		limit(given) {
+		setLimits(given) {
 			limits = given;
 			server.keepAliveTimeout = limits.idleTimeoutMs + idleMarginMs;
 			server.headersTimeout = limits.headerTimeoutMs + idleMarginMs;
 		},
-		finish() {
+		drain() {
 			server.close();
 			server.closeIdleConnections();
 		},
@@ -196,10 +202,10 @@
 /**
 The parts of a request that was read.
 */
-export const toRead = (
+export const toReceivedRequest = (
 	request: IncomingMessage,
 	body: Buffer | undefined,
-): ReadRequest => ({
+): ReceivedRequest => ({
 	method: request.method ?? 'GET',
 	target: request.url ?? '/',
 	host: request.headers.host ?? '',
@@ -215,7 +221,7 @@
 export const createResponseSink = (
 	response: ServerResponse,
 	isLeaving: () => boolean,
-): AnswerSink => {
+): ResponseSink => {
 	let isHeadOut = false;
 	const closing = (): readonly string[] =>
 		isLeaving() ? ['connection', 'close'] : [];
@@ -236,7 +242,7 @@
 		end(chunk) {
 			response.end(chunk);
 		},
-		breakOff() {
+		abort() {
 			response.destroy();
 		},
 		refuse(error) {
--- a/src/gateway/intake/entry-members.ts
+++ b/src/gateway/intake/entry-members.ts
@@ -3,7 +3,7 @@
 /**
 Whom a caller asks for.
 */
-export type EntryQuestion = {
+export type EntryQuery = {
 	/**
 	Nodes that take requests: those that are well, and those that leave and take them a while longer.
 	*/
@@ -29,13 +29,13 @@
 89 of 588 such requests were read where they may not run while six nodes were stopped 2 s apart; with
 nodes that stay before the regions where they may run, 54 of 583.
 */
-export const entriesFor = ({
+export const selectEntryMembers = ({
 	members,
 	regionOf,
 	homeRoutes,
 	region,
 	availabilityZone,
-}: EntryQuestion): readonly Member[] => {
+}: EntryQuery): readonly Member[] => {
 	const staying = members.filter(({status}) => status === 'alive');
 	const isInRegion = (member: Member) =>
 		regionOf(member.availabilityZone) === region;
--- a/src/gateway/intake/gateway-listeners.ts
+++ b/src/gateway/intake/gateway-listeners.ts
@@ -5,10 +5,10 @@
 } from '../../mesh/index.ts';
 import type {CallerLimits} from '../../routes/index.ts';
 import {
-	startFrontListener,
-	type FrontListener,
-	type FrontListenerOptions,
-} from './front-listener.ts';
+	startCallerListener,
+	type CallerListener,
+	type CallerListenerOptions,
+} from './caller-listener.ts';
 
 /**
 Where a node takes calls: of other nodes and of callers.
@@ -18,11 +18,11 @@
 	/**
 	Takes over the bounds on callers of a new configuration.
 	*/
-	limit(limits: CallerLimits): void;
+	setLimits(limits: CallerLimits): void;
 	/**
 	Closes connections of callers as they become idle, and takes no new ones.
 	*/
-	finish(): void;
+	drain(): void;
 	close(): Promise<void>;
 };
 
@@ -31,7 +31,7 @@
 */
 export type GatewayListenersOptions = {
 	readonly peers: PeerListenerOptions;
-	readonly callers: Omit<FrontListenerOptions, 'limits'>;
+	readonly callers: Omit<CallerListenerOptions, 'limits'>;
 };
 
 // Bounds on callers before the first configuration is known; no request is served until then.
@@ -50,21 +50,21 @@
 ): GatewayListeners => {
 	// The first routes may come before the listener for callers is up.
 	let limits = initialLimits;
-	let front: FrontListener | undefined;
+	let front: CallerListener | undefined;
 	let peers: PeerListener | undefined;
 
 	return {
 		async start() {
 			peers = await startPeerListener(options.peers);
-			front = await startFrontListener({...options.callers, limits});
-			front.limit(limits);
+			front = await startCallerListener({...options.callers, limits});
+			front.setLimits(limits);
 		},
-		limit(given) {
+		setLimits(given) {
 			limits = given;
-			front?.limit(limits);
+			front?.setLimits(limits);
 		},
-		finish() {
-			front?.finish();
+		drain() {
+			front?.drain();
 		},
 		async close() {
 			await Promise.all([front?.close(), peers?.close()]);
--- a/src/gateway/intake/hop-sink.ts
+++ b/src/gateway/intake/hop-sink.ts
@@ -1,13 +1,13 @@
 import type {ServerResponse} from 'node:http';
-import type {AnswerSink} from '../exchange.ts';
+import type {ResponseSink} from '../exchange.ts';
 import {encodeHopResult} from '../delivery/index.ts';
-import {createResponseSink} from './front-listener.ts';
+import {createResponseSink} from './caller-listener.ts';
 
 /**
 Builds what answers a request that another node forwarded: with the headers that tell it how the
 request ended here.
 */
-export const createHopSink = (response: ServerResponse): AnswerSink => {
+export const createHopSink = (response: ServerResponse): ResponseSink => {
 	const sink = createResponseSink(response, () => false);
 	return {
 		...sink,
@@ -18,7 +18,7 @@
 			} as const;
 			sink.begin(status, [...headers, ...encodeHopResult(result)], server);
 		},
-		refuse({outcome, message}, tried, roomInMs) {
+		refuse({outcome, message}, tried, availableInMs) {
 			if (response.headersSent || response.destroyed) {
 				response.destroy();
 				return;
@@ -30,7 +30,7 @@
 					outcome,
 					reason: message,
 					tried,
-					roomInMs,
+					availableInMs,
 				}),
 				'content-length',
 				'0',
--- a/src/gateway/intake/leaving-admission.ts
+++ b/src/gateway/intake/leaving-admission.ts
@@ -12,7 +12,7 @@
 	/**
 	Whether a request will be answered before the node ends; always true before `leave` was called.
 	*/
-	mayTake(exchange: Exchange): boolean;
+	admits(exchange: Exchange): boolean;
 };
 
 // While callers are still led here a request is taken where all but one in twenty of its route would be
@@ -34,13 +34,13 @@
 	let leaving: {readonly since: number; readonly endsAt: number} | undefined;
 
 	const expectedMs = ({route}: Exchange): number =>
-		durations.within(route.name, answeredPart) ?? route.timeoutMs;
+		durations.quantileMs(route.name, answeredPart) ?? route.timeoutMs;
 
 	return {
 		leave(now, endsAt) {
 			leaving = {since: now, endsAt};
 		},
-		mayTake(exchange) {
+		admits(exchange) {
 			const {receivedAt, expiresAt} = exchange;
 			if (!leaving || expiresAt <= leaving.endsAt) {
 				return true;
--- a/src/gateway/intake/read-exchange.ts
+++ b/src/gateway/intake/read-exchange.ts
@@ -17,8 +17,8 @@
 	lastEventIdHeader,
 	type WireHeaders,
 } from '../wire-headers.ts';
-import {bindClient, bindStated, keyDigestOf} from './bind-client.ts';
-import type {ReadRequest} from './front-listener.ts';
+import {bindClient, bindForwardedClient, keyDigestOf} from './bind-client.ts';
+import type {ReceivedRequest} from './caller-listener.ts';
 
 /**
 What requests are read with.
@@ -37,7 +37,7 @@
 Reads the request of a caller.
 */
 export const readExchange = (
-	request: ReadRequest,
+	request: ReceivedRequest,
 	context: ReadContext,
 ): Result<Exchange, GatewayError> => {
 	const {names, routes} = context;
@@ -87,7 +87,7 @@
 newer.
 */
 export const readForwarded = (
-	request: ReadRequest,
+	request: ReceivedRequest,
 	context: ReadContext,
 ): Result<Exchange, GatewayError> => {
 	const {names, routes} = context;
@@ -114,7 +114,7 @@
 				routes,
 				route,
 			)
-		: bindStated(routes, route, call.client);
+		: bindForwardedClient(routes, route, call.client);
 	if (bound.isErr) {
 		return Result.err(bound.error);
 	}
@@ -139,7 +139,7 @@
 });
 
 const common = (
-	request: ReadRequest,
+	request: ReceivedRequest,
 	names: WireHeaders,
 	{clients}: RouteTable,
 ) => ({
@@ -188,7 +188,7 @@
 };
 
 const readPrompt = (
-	request: ReadRequest,
+	request: ReceivedRequest,
 	names: WireHeaders,
 ): Prompt | undefined => {
 	const usage = request.header(names.tokenUsage);
--- a/src/gateway/intake/guide-log.ts
+++ b/src/gateway/intake/region-failover-log.ts
@@ -4,7 +4,7 @@
 /**
 Writes down when callers of a region begin to be led to other regions, and when that ends.
 */
-export type GuideLog = {
+export type RegionFailoverLog = {
 	/**
 	Callers of the region were told of these nodes.
 	*/
@@ -14,7 +14,7 @@
 /**
 What a log is built from.
 */
-export type GuideLogOptions = {
+export type RegionFailoverLogOptions = {
 	readonly logger: Logger;
 	readonly regionOf: (availabilityZone: string) => string;
 	/**
@@ -26,11 +26,11 @@
 /**
 Builds a log in which callers of all regions were led to their own.
 */
-export const createGuideLog = ({
+export const createRegionFailoverLog = ({
 	logger,
 	regionOf,
 	members,
-}: GuideLogOptions): GuideLog => {
+}: RegionFailoverLogOptions): RegionFailoverLog => {
 	const ledTo = new Map<string, string>();
 
 	return {
--- a/src/gateway/intake/closes-first.ts
+++ b/src/gateway/intake/request-deferral.ts
@@ -1,14 +1,14 @@
 /**
 Lets closes of connections be seen before the requests that came over them are taken.
 */
-export type ClosesFirst = {
+export type RequestDeferral = {
 	/**
 	Runs at once, or when closes that have arrived were seen; returns what keeps it from running.
 
 	@param run What takes the request.
 	@param isFirst Whether it is the first request of its connection.
 	*/
-	take(run: () => void, isFirst: boolean): () => void;
+	schedule(run: () => void, isFirst: boolean): () => void;
 };
 
 /**
@@ -16,7 +16,7 @@
 far less than the half second in which nothing may be sent on for a caller that has left, and more than a
 collection of garbage takes.
 */
-export const lateLoopMs = 100;
+export const deferralLagMs = 100;
 
 /**
 Builds it.
@@ -30,9 +30,11 @@
 
 @param lagMs How late the event loop is.
 */
-export const createClosesFirst = (lagMs: () => number): ClosesFirst => ({
-	take(run, isFirst) {
-		if (!isFirst && lagMs() < lateLoopMs) {
+export const createRequestDeferral = (
+	lagMs: () => number,
+): RequestDeferral => ({
+	schedule(run, isFirst) {
+		if (!isFirst && lagMs() < deferralLagMs) {
 			run();
 			return () => undefined;
 		}
--- a/src/gateway/intake/request-intake.ts
+++ b/src/gateway/intake/request-intake.ts
@@ -6,18 +6,18 @@
 	type GatewayError,
 } from '../../errors/index.ts';
 import type {SharedVerdict} from '../../limits/index.ts';
-import type {Without} from '../../mechanisms/index.ts';
+import type {DisabledMechanisms} from '../../mechanisms/index.ts';
 import type {Deliveries} from '../delivery/index.ts';
-import type {AnswerSink, Exchange} from '../exchange.ts';
+import type {ResponseSink, Exchange} from '../exchange.ts';
 import type {GatewayObserver} from '../gateway-observer.ts';
 import {
 	onCallerLeft,
 	readBody,
-	toRead,
-	type ReadRequest,
-} from './front-listener.ts';
+	toReceivedRequest,
+	type ReceivedRequest,
+} from './caller-listener.ts';
 import {createHopSink} from './hop-sink.ts';
-import type {ClosesFirst} from './closes-first.ts';
+import type {RequestDeferral} from './request-deferral.ts';
 import type {LeavingAdmission} from './leaving-admission.ts';
 import {
 	readExchange,
@@ -32,15 +32,15 @@
 	/**
 	Takes a caller's request; returns what to call when the caller closes its connection.
 	*/
-	take(request: ReadRequest, sink: AnswerSink): () => void;
+	handle(request: ReceivedRequest, sink: ResponseSink): () => void;
 	/**
 	Takes a request that another node forwards.
 	*/
-	takeForwarded(request: IncomingMessage, response: ServerResponse): void;
+	handleForwarded(request: IncomingMessage, response: ServerResponse): void;
 	/**
 	Goes on with what came before the first routes; to be called once there are routes.
 	*/
-	routesCame(): void;
+	onRoutesAvailable(): void;
 };
 
 /**
@@ -53,12 +53,12 @@
 	Asked for each request of a caller.
 	*/
 	readonly admission: LeavingAdmission;
-	readonly closesFirst: ClosesFirst;
+	readonly requestDeferral: RequestDeferral;
 	/**
 	Asked for each request of a caller that has an account.
 	*/
 	readonly admit: (exchange: Exchange) => SharedVerdict;
-	readonly without: Without;
+	readonly without: DisabledMechanisms;
 	readonly readContext: () => ReadContext;
 };
 
@@ -66,7 +66,7 @@
 How long a request waits for the first routes of a node that has just started, in milliseconds. The
 registry is read in less; a caller that is refused has one try less.
 */
-export const routesPatienceMs = 500;
+export const firstRoutesTimeoutMs = 500;
 
 /**
 Requests that wait for the first routes at the most; more are refused at once.
@@ -80,7 +80,7 @@
 	deliveries,
 	observer,
 	admission,
-	closesFirst,
+	requestDeferral,
 	admit,
 	without,
 	readContext,
@@ -93,7 +93,7 @@
 		read.isErr ||
 		read.value.hop !== undefined ||
 		without.has('leaving-admission') ||
-		admission.mayTake(read.value)
+		admission.admits(read.value)
 			? read
 			: Result.err(
 					createGatewayError(
@@ -130,8 +130,8 @@
 
 	const takeBy = (
 		read: typeof readExchange,
-		request: ReadRequest,
-		sink: AnswerSink,
+		request: ReceivedRequest,
+		sink: ResponseSink,
 		arrivedAt: number,
 	): (() => void) => {
 		// Its time runs from its arrival, however long it waited for the first routes.
@@ -172,19 +172,19 @@
 			early.delete(go);
 		};
 
-		const timer = setTimeout(go, routesPatienceMs);
+		const timer = setTimeout(go, firstRoutesTimeoutMs);
 		early.add(go);
 		return forget;
 	};
 
 	const takeReady = (
 		read: typeof readExchange,
-		request: ReadRequest,
-		sink: AnswerSink,
+		request: ReceivedRequest,
+		sink: ResponseSink,
 	): (() => void) => {
 		const arrivedAt = readContext().now;
 		let cancel: () => void = () => undefined;
-		const skip = closesFirst.take(() => {
+		const skip = requestDeferral.schedule(() => {
 			let callerLeft: () => void = () => undefined;
 			const forget = afterRoutes(() => {
 				callerLeft = takeBy(read, request, sink, arrivedAt);
@@ -201,13 +201,13 @@
 	};
 
 	return {
-		take: (request, sink) => takeReady(readExchange, request, sink),
-		routesCame() {
+		handle: (request, sink) => takeReady(readExchange, request, sink),
+		onRoutesAvailable() {
 			for (const go of early) {
 				go();
 			}
 		},
-		takeForwarded(request, response) {
+		handleForwarded(request, response) {
 			// The node of the caller has checked the length by its bounds.
 			readBody(request, Number.MAX_SAFE_INTEGER, (body) => {
 				if (body === 'too-large') {
@@ -215,7 +215,7 @@
 				}
 
 				const sink = createHopSink(response);
-				const read = toRead(request, body);
+				const read = toReceivedRequest(request, body);
 				onCallerLeft(response, takeReady(readForwarded, read, sink));
 			});
 		},
--- a/src/gateway/request-handling.ts
+++ b/src/gateway/request-handling.ts
@@ -1,4 +1,4 @@
-import {lifeOf} from '../registry/index.ts';
+import {incarnationIdOf} from '../registry/index.ts';
 import {createWindowRetryBudget} from '../retries/index.ts';
 import {isRegionAllowed, type Prompt} from '../routes/index.ts';
 import {
@@ -14,13 +14,13 @@
 } from './gateway-observer.ts';
 import type {GatewayOptions} from './gateway-options.ts';
 import {
-	createClosesFirst,
+	createRequestDeferral,
 	createLeavingAdmission,
 	type LeavingAdmission,
 	createRequestIntake,
 	type RequestIntake,
 } from './intake/index.ts';
-import type {NodeKnowledge} from './sharing/index.ts';
+import type {NodeState} from './sharing/index.ts';
 
 /**
 What takes requests in, delivers them and writes down what became of them.
@@ -35,7 +35,7 @@
 /**
 What the handling of requests and the ticks of a node have to do with each other.
 */
-export type HandlingSchedule = {
+export type TickHooks = {
 	/**
 	Told when a request waits for room and no other does.
 	*/
@@ -60,13 +60,13 @@
 */
 export const createRequestHandling = (
 	options: GatewayOptions,
-	knowledge: NodeKnowledge,
-	schedule: HandlingSchedule,
+	knowledge: NodeState,
+	schedule: TickHooks,
 ): RequestHandling => {
 	const {logger, headers, bounds} = options;
 	const {
 		clock,
-		ownRegion,
+		localRegion,
 		mirror,
 		registry,
 		mesh,
@@ -75,14 +75,14 @@
 		client,
 		quarantine,
 		backendLimits,
-		standings,
+		announcements,
 	} = knowledge;
 	const {routesVersion} = mirror;
 	const {choose, peerFailed} = createGatewayChooser({
 		...knowledge,
 		zones: options.zones,
 		without: options.without,
-		keeps: knowledge.prompts.keeps,
+		isCached: knowledge.prompts.isCached,
 	});
 	const durations = createRouteDurations();
 	const admission = createLeavingAdmission(durations);
@@ -99,13 +99,13 @@
 			windowMs: bounds.retryWindowMs,
 			slack: bounds.retrySlack,
 		}),
-		nodes: shares.retrySharers,
+		budgetNodes: shares.retrySharingNodes,
 		hasSettled: shares.hasSettled,
 		durations,
-		connectionsTo: (service, server) =>
+		connectionShare: (service, server) =>
 			shares.connectionsTo(mirror.routes()?.service(service), server),
 		routesVersion,
-		isServedHere: (route) => isRegionAllowed(route, ownRegion),
+		isServedHere: (route) => isRegionAllowed(route, localRegion),
 		isClientKnown({name, keyDigest}) {
 			const clients = mirror.routes()?.clients;
 			return !clients || clients.byKey(keyDigest)?.name === name;
@@ -114,7 +114,7 @@
 		onServerFailure(server, {reason, isRefused}) {
 			const entry = fleet.server(server);
 			if (isRefused && entry) {
-				quarantine.refused(lifeOf(entry), clock());
+				quarantine.connectionRefused(incarnationIdOf(entry), clock());
 			}
 
 			if (fleet.isSuspect(server)) {
@@ -124,34 +124,34 @@
 			fleet.suspect(server, clock());
 			logger.warn({server, reason}, 'backend server suspected');
 		},
-		onBroken(exchange, call) {
+		onCallBroken(exchange, call) {
 			const fingerprint = fingerprintOfExchange(exchange);
-			quarantine.broke({...call, fingerprint}, clock());
+			quarantine.connectionBroken({...call, fingerprint}, clock());
 		},
 		onServed(exchange) {
 			quarantine.served(() => fingerprintOfExchange(exchange));
 		},
-		standing: (exchange) =>
-			quarantine.standing(() => fingerprintOfExchange(exchange), clock()),
+		quarantineStatus: (exchange) =>
+			quarantine.status(() => fingerprintOfExchange(exchange), clock()),
 		statements: knowledge.statements,
-		standings,
+		announcements,
 		canReceive(server, life) {
 			const entry = fleet.server(server);
 			return (
 				entry !== undefined &&
-				lifeOf(entry) === life &&
-				standings.rests.leftMs(life, clock()) === 0
+				incarnationIdOf(entry) === life &&
+				announcements.backoffs.remainingMs(life, clock()) === 0
 			);
 		},
 		backendLimits,
 		onWaiting() {
-			if (deliveries.waiting() === 1) {
+			if (deliveries.queuedCount() === 1) {
 				schedule.onFirstWaiting();
 			}
 		},
 		onRecord(record) {
 			if (record.result === 'answered') {
-				durations.note(record.exchange.route.name, record.totalMs);
+				durations.record(record.exchange.route.name, record.totalMs);
 			}
 
 			observer.record(record);
@@ -159,7 +159,7 @@
 	});
 	const observer = createGatewayObserver({
 		logger,
-		inputs: () => ({
+		logContext: () => ({
 			routesVersion: routesVersion(),
 			registryEra: mirror.position().era,
 			registryRevision: mirror.revision(),
@@ -168,11 +168,11 @@
 		limitStates: () => knowledge.limits.states(clock()),
 		gauges: {
 			requestsUnderWay: deliveries.count,
-			requestsWaiting: deliveries.waiting,
+			requestsWaiting: deliveries.queuedCount,
 			loopLagMilliseconds: schedule.lagMs,
 			registryEra: () => mirror.position().era,
 			registryRevision: mirror.revision,
-			registryKeptBeyondCopy: () => Number(mirror.stamp().isBeyondRegistry),
+			registryKeptBeyondCopy: () => Number(mirror.stamp().isAheadOfRegistry),
 			registryItemsUnreadable: mirror.unreadable,
 			routesVersion,
 			nodesUsable: () => mesh.usable().length,
@@ -181,10 +181,10 @@
 			serversLimited: backendLimits.limitedServers,
 			requestsSentToLimitedServers: backendLimits.sentToLimited,
 			limitedServersHeldBack: backendLimits.heldBack,
-			serversLeaving: standings.leavingServers,
-			serversResting: () => standings.restingServers(clock()),
-			requestsSentToLeavingServers: standings.sentToLeaving,
-			requestsSentToRestingServers: standings.sentToResting,
+			serversLeaving: announcements.leavingServers,
+			serversResting: () => announcements.serversInBackoff(clock()),
+			requestsSentToLeavingServers: announcements.sentToLeaving,
+			requestsSentToRestingServers: announcements.sentDuringBackoff,
 			serverCrashesSeen: quarantine.crashesSeen,
 			crashSuspects: quarantine.suspects,
 			requestsQuarantined: () => quarantine.quarantined(clock()),
@@ -194,7 +194,7 @@
 		deliveries,
 		observer,
 		admission,
-		closesFirst: createClosesFirst(schedule.lagMs),
+		requestDeferral: createRequestDeferral(schedule.lagMs),
 		admit({client: account, prompt}) {
 			const name = account?.name ?? '';
 			const now = clock();
--- a/src/gateway/sharing/index.ts
+++ b/src/gateway/sharing/index.ts
@@ -1,4 +1,4 @@
-export * from './load-statement.ts';
+export * from './load-publisher.ts';
 export * from './node-joiner.ts';
-export * from './node-knowledge.ts';
+export * from './node-state.ts';
 export * from './node-shares.ts';
--- a/src/gateway/sharing/limit-sharing.ts
+++ b/src/gateway/sharing/limit-sharing.ts
@@ -4,11 +4,11 @@
 	type SharedVerdict,
 } from '../../limits/index.ts';
 import {
-	countOf,
+	limitUnitsUsed,
 	type ClientAccount,
 	type ClientDirectory,
 } from '../../clients/index.ts';
-import {createZoneHolders, type Member} from '../../membership/index.ts';
+import {createZoneRoleHolders, type Member} from '../../membership/index.ts';
 import {createDerived} from '../../shared/index.ts';
 import type {Mesh} from '../../mesh/index.ts';
 import type {UsageMessage} from '../../peers/usage-messages.ts';
@@ -31,7 +31,7 @@
 	/**
 	Takes in what another node tells.
 	*/
-	hear(message: UsageMessage, now: number): void;
+	receive(message: UsageMessage, now: number): void;
 	/**
 	Tells other nodes once the interval is over; called at each tick.
 	*/
@@ -46,7 +46,7 @@
 What sharing is built from.
 */
 export type LimitSharingOptions = {
-	readonly mesh: Pick<Mesh, 'self' | 'usable' | 'others' | 'tell'>;
+	readonly mesh: Pick<Mesh, 'self' | 'usable' | 'others' | 'send'>;
 	/**
 	The accounts of the routes in force; undefined where callers need no key.
 	*/
@@ -67,7 +67,7 @@
 	/**
 	A number from 0 up to, but without, 1.
 	*/
-	readonly draw: () => number;
+	readonly randomFraction: () => number;
 };
 
 /**
@@ -93,13 +93,13 @@
 	zones,
 	hasSettled,
 	nodes,
-	draw,
+	randomFraction,
 }: LimitSharingOptions): LimitSharing => {
 	const isInOwnZone = ({availabilityZone}: Member) =>
 		availabilityZone === mesh.self().availabilityZone;
 
 	// Nodes that leave are gone for good or come back as new ones; dead ones may be cut off.
-	const zonePart = createDerived(mesh.others, (members) => {
+	const zoneReachableFraction = createDerived(mesh.others, (members) => {
 		const zone = members.filter((member) => isInOwnZone(member));
 		const dead = zone.filter(({status}) => status === 'dead').length;
 		const leaving = zone.filter(({status}) => status === 'leaving').length;
@@ -108,14 +108,14 @@
 	const limits = createSharedLimits({
 		windowMs,
 		otherZones: zones.filter((zone) => zone !== mesh.self().availabilityZone),
-		zonePart,
+		zoneReachableFraction,
 		hasSettled,
 		nodes,
-		draw,
+		randomFraction,
 	});
 	let nextAt = 0;
 
-	const holders = createZoneHolders(duty, mesh.self, mesh.usable);
+	const holders = createZoneRoleHolders(duty, mesh.self, mesh.usable);
 
 	const addUp = (now: number) => {
 		const {id, availabilityZone} = mesh.self();
@@ -124,14 +124,14 @@
 			.values()
 			.filter((holder) => !isInOwnZone(holder))
 			.toArray();
-		mesh.tell(others, {
+		mesh.send(others, {
 			kind: 'zone',
 			from: availabilityZone,
-			word: {part: zonePart(), usages},
+			usage: {nodeFraction: zoneReachableFraction(), usages},
 		});
 		const totals = limits.totals(now);
-		limits.hearTotals(totals, now);
-		mesh.tell(
+		limits.receiveTotals(totals, now);
+		mesh.send(
 			mesh.usable().filter((member) => isInOwnZone(member)),
 			{kind: 'totals', from: id, totals},
 		);
@@ -144,10 +144,10 @@
 		const holder = holders().get(availabilityZone);
 		const usages = limits.report(now);
 		if (holder === undefined || holder.id === id) {
-			limits.hearNode(from, usages, now);
+			limits.receiveNodeUsage(from, usages, now);
 			addUp(now);
 		} else if (usages.length > 0) {
-			mesh.tell([holder], {kind: 'node', from, usages});
+			mesh.send([holder], {kind: 'node', from, usages});
 		}
 	};
 
@@ -155,23 +155,23 @@
 		admit(account, tokens, now) {
 			const limit = clients()?.byName(account)?.limit;
 			return limit
-				? limits.admit(account, limit, countOf(limit, tokens), now)
+				? limits.admit(account, limit, limitUnitsUsed(limit, tokens), now)
 				: admitted;
 		},
-		hear(message, now) {
+		receive(message, now) {
 			switch (message.kind) {
 				case 'node': {
-					limits.hearNode(message.from, message.usages, now);
+					limits.receiveNodeUsage(message.from, message.usages, now);
 					return;
 				}
 
 				case 'zone': {
-					limits.hearZone(message.from, message.word, now);
+					limits.receiveZoneUsage(message.from, message.usage, now);
 					return;
 				}
 
 				case 'totals': {
-					limits.hearTotals(message.totals, now);
+					limits.receiveTotals(message.totals, now);
 				}
 			}
 		},
--- a/src/gateway/sharing/load-statement.ts
+++ b/src/gateway/sharing/load-publisher.ts
@@ -5,7 +5,7 @@
 /**
 States the load of the own zone to the other nodes.
 */
-export type LoadStatement = {
+export type LoadPublisher = {
 	/**
 	States it once the interval is over; called at each tick.
 	*/
@@ -24,11 +24,11 @@
 /**
 Builds the statement of one node.
 */
-export const createLoadStatement = (
+export const createLoadPublisher = (
 	mesh: Mesh,
 	fleet: BackendFleet,
 	mirror: RegistryMirror,
-): LoadStatement => {
+): LoadPublisher => {
 	let nextAt = 0;
 
 	const state = (now: number) => {
@@ -44,7 +44,7 @@
 					},
 				] as const,
 		);
-		mesh.stateLoad(Object.fromEntries(loads), now);
+		mesh.publishLoad(Object.fromEntries(loads), now);
 	};
 
 	return {
--- a/src/gateway/sharing/node-joiner.ts
+++ b/src/gateway/sharing/node-joiner.ts
@@ -1,5 +1,5 @@
 import {viewFingerprint} from '../../membership/index.ts';
-import type {Mesh, PeerQuestions} from '../../mesh/index.ts';
+import type {Mesh, PeerClient} from '../../mesh/index.ts';
 import type {Address, Random} from '../../shared/index.ts';
 
 /**
@@ -22,7 +22,7 @@
 */
 export type NodeJoinerOptions = {
 	readonly mesh: Mesh;
-	readonly questions: PeerQuestions;
+	readonly peerClient: PeerClient;
 	/**
 	Contact addresses of other nodes; may change.
 	*/
@@ -57,13 +57,13 @@
 */
 export const createNodeJoiner = ({
 	mesh,
-	questions,
+	peerClient,
 	seeds,
 	ownAddresses,
 	random,
 }: NodeJoinerOptions): NodeJoiner => {
 	let nextAt = 0;
-	const isAlone = () => mesh.lastHeard() === undefined;
+	const isAlone = () => mesh.lastReceivedAt() === undefined;
 
 	const rejoinAfterMs = () =>
 		Math.max(rejoinIntervalMs, mesh.others().length * rejoinPerNodeMs);
@@ -79,9 +79,9 @@
 		const knownView = viewFingerprint([mesh.self(), ...mesh.others()]);
 		await Promise.all(
 			seedsToAsk().map(async (seed) => {
-				const members = await questions.members(seed, knownView);
+				const members = await peerClient.members(seed, knownView);
 				if (members) {
-					mesh.learn(members);
+					mesh.mergeMembers(members);
 				}
 			}),
 		);
--- a/src/gateway/sharing/node-shares.ts
+++ b/src/gateway/sharing/node-shares.ts
@@ -13,7 +13,7 @@
 	/**
 	Ids of all nodes of the region that were ever heard of, this one included.
 	*/
-	nodesEverHeard(): readonly string[];
+	knownNodeIds(): readonly string[];
 	/**
 	How many of them go before this one in the order for a backend server.
 	*/
@@ -25,7 +25,7 @@
 	/**
 	Nodes of all regions that share the slack of the retry budget; infinite while none may use it.
 	*/
-	retrySharers(): number;
+	retrySharingNodes(): number;
 	/**
 	Connections that this node may hold to one backend server of a service.
 	*/
@@ -40,7 +40,7 @@
 	/**
 	Whether they rest between two requests; where they may not, each request opens one and closes it.
 	*/
-	readonly isKept: boolean;
+	readonly isPersistent: boolean;
 };
 
 /**
@@ -48,7 +48,7 @@
 */
 export type NodeSharesOptions = {
 	readonly self: string;
-	readonly ownRegion: string;
+	readonly localRegion: string;
 	readonly regionOf: (availabilityZone: string) => string;
 	readonly mesh: Mesh;
 	readonly clock: () => number;
@@ -64,7 +64,7 @@
 The retry slack is shared among so many nodes at the least, so that nodes that cannot hear of each
 other do not each take all of it.
 */
-export const minimumSharers = 8;
+export const minimumSharingNodes = 8;
 
 /**
 Nodes of a region that a node takes for granted until it had time to hear of the others. After a
@@ -75,7 +75,7 @@
 /**
 Part of the connections of a backend server that all nodes together use.
 */
-export const connectionPart = 0.8;
+export const connectionFraction = 0.8;
 
 // Connections to a backend server that states no bound.
 const unboundedConnections = 128;
@@ -89,51 +89,53 @@
 */
 export const createNodeShares = ({
 	self,
-	ownRegion,
+	localRegion,
 	regionOf,
 	mesh,
 	clock,
 }: NodeSharesOptions): NodeShares => {
 	const startedAt = clock();
 	const hasSettled = () => clock() - startedAt > settlingMs;
-	const nodesEverHeard = createDerived(mesh.others, (others) => [
+	const knownNodeIds = createDerived(mesh.others, (others) => [
 		self,
 		...others
-			.filter(({availabilityZone}) => regionOf(availabilityZone) === ownRegion)
+			.filter(
+				({availabilityZone}) => regionOf(availabilityZone) === localRegion,
+			)
 			.map(({id}) => id),
 	]);
 
-	const order = createNodeOrder(self, nodesEverHeard);
+	const order = createNodeOrder(self, knownNodeIds);
 
 	return {
 		hasSettled,
-		nodesEverHeard,
+		knownNodeIds,
 		senderRank: order.rank,
 		nodesServing: () =>
 			Math.max(
-				1 + mesh.usableIn(ownRegion).length,
+				1 + mesh.usableIn(localRegion).length,
 				hasSettled() ? 1 : assumedNodes,
 			),
 		// After a stop of all nodes each knows itself only: none takes of the slack before it had time to
 		// hear of the others, for all of them together could take it many times over.
-		retrySharers: () =>
+		retrySharingNodes: () =>
 			hasSettled()
-				? Math.max(1 + mesh.others().length, minimumSharers)
+				? Math.max(1 + mesh.others().length, minimumSharingNodes)
 				: Infinity,
 		connectionsTo(service, server) {
 			const bound = service?.maximumConnections ?? 0;
 			if (bound === 0) {
-				return {maximum: unboundedConnections, isKept: true};
+				return {maximum: unboundedConnections, isPersistent: true};
 			}
 
-			const used = bound * connectionPart;
-			const part = Math.floor(used / nodesEverHeard().length);
+			const used = bound * connectionFraction;
+			const part = Math.floor(used / knownNodeIds().length);
 			// Two resting connections of each of many nodes are more than a server takes, and it resets what is beyond: only the
 			// first in an order keep theirs.
 			const keepers = Math.floor(used / fewestConnections);
 			return {
 				maximum: Math.max(fewestConnections, part),
-				isKept: part >= fewestConnections || order.rank(server) < keepers,
+				isPersistent: part >= fewestConnections || order.rank(server) < keepers,
 			};
 		},
 	};
