--- a/src/gateway/sharing/node-knowledge.ts
+++ b/src/gateway/sharing/node-state.ts
@@ -7,9 +7,9 @@
 } from '../../backends/index.ts';
 import {
 	createMesh,
-	createPeerQuestions,
+	createPeerClient,
 	type Mesh,
-	type PeerQuestions,
+	type PeerClient,
 } from '../../mesh/index.ts';
 import {
 	createRegistryMirror,
@@ -25,12 +25,12 @@
 } from '../../backend-limits/index.ts';
 import {
 	createLeavingBroadcast,
-	createServerStandings,
-	createStatementIntake,
+	createServerAnnouncements,
+	createStatementHandler,
 	type LeavingBroadcast,
-	type ServerStandings,
+	type ServerAnnouncements,
 	type StatementFault,
-	type StatementIntake,
+	type StatementHandler,
 } from '../../server-statements/index.ts';
 import {
 	createDerived,
@@ -45,11 +45,11 @@
 import {createLimitSharing, type LimitSharing} from './limit-sharing.ts';
 import {
 	createNodeShares,
-	minimumSharers,
+	minimumSharingNodes,
 	type NodeShares,
 } from './node-shares.ts';
 import {createPromptSharing, type PromptSharing} from './prompt-sharing.ts';
-import {createReadingTeller} from './reading-teller.ts';
+import {createPrefillBacklogSender} from './prefill-backlog-sender.ts';
 import {createRegistryChanges} from './registry-changes.ts';
 import {
 	createRegistrySharing,
@@ -59,13 +59,13 @@
 /**
 What a node knows of other nodes, of backend servers and of prompts, and what keeps it up to date.
 */
-export type NodeKnowledge = {
+export type NodeState = {
 	/**
 	Milliseconds that only rise.
 	*/
 	readonly clock: () => number;
 	readonly random: Random;
-	readonly ownRegion: string;
+	readonly localRegion: string;
 	readonly regions: readonly string[];
 	readonly regionOf: (availabilityZone: string) => string;
 	/**
@@ -77,7 +77,7 @@
 	The other nodes, and what is shared with them.
 	*/
 	readonly mesh: Mesh;
-	readonly questions: PeerQuestions;
+	readonly peerClient: PeerClient;
 	readonly shares: NodeShares;
 	readonly prompts: PromptSharing;
 	readonly limits: LimitSharing;
@@ -101,18 +101,18 @@
 	/**
 	What backend servers have announced about receiving requests.
 	*/
-	readonly standings: ServerStandings;
+	readonly announcements: ServerAnnouncements;
 	readonly leavingBroadcast: LeavingBroadcast;
 	/**
 	Takes in what backend servers state in their answers.
 	*/
-	readonly statements: StatementIntake;
+	readonly statements: StatementHandler;
 };
 
 /**
 Who is told when the registry's copy has changed.
 */
-export type KnowledgeCallbacks = {
+export type NodeStateCallbacks = {
 	/**
 	Told the bounds on callers of routes that come into force.
 	*/
@@ -120,11 +120,11 @@
 	/**
 	Told last, once everything else has taken the changes in.
 	*/
-	readonly onTakenIn: () => void;
+	readonly onChangesApplied: () => void;
 	/**
 	Asked whether a backend server lives.
 	*/
-	readonly onDoubt: (server: string) => void;
+	readonly onProbeNeeded: (server: string) => void;
 	/**
 	Told of each request that is put in quarantine.
 	*/
@@ -140,16 +140,16 @@
 /**
 Builds the knowledge of a node that knows nothing yet; nothing runs before its parts are started.
 */
-export const createNodeKnowledge = (
+export const createNodeState = (
 	options: GatewayOptions,
 	{
 		onLimits,
-		onTakenIn,
-		onDoubt,
+		onChangesApplied,
+		onProbeNeeded,
 		onQuarantined,
 		onBadStatement,
-	}: KnowledgeCallbacks,
-): NodeKnowledge => {
+	}: NodeStateCallbacks,
+): NodeState => {
 	const {logger, zones, availabilityZone, bounds} = options;
 	// The fleet comes later, and the clock is read before.
 	let onSlept: (ms: number) => void = () => undefined;
@@ -158,37 +158,37 @@
 		onSlept(suspendedMs);
 		logger.warn({suspendedMs}, 'the machine was suspended; ages count it');
 	});
-	const ownRegion = zones[availabilityZone] ?? '';
+	const localRegion = zones[availabilityZone] ?? '';
 	const regions = [...new Set(Object.values(zones))];
 	const random = createRandom(randomBytes(4).readUInt32LE() % seedRange);
 	const regionOf = (zone: string) => zones[zone] ?? '';
 
 	const mirror = createRegistryMirror();
 	const client = createUpstreamClient();
-	const questions = createPeerQuestions();
+	const peerClient = createPeerClient();
 	const mesh = createMesh({
 		...options,
 		regionOf,
 		registryStamp: mirror.stamp,
 		onRegistryStamp(stamp, from) {
-			registry.heard(stamp, from);
+			registry.receiveStamp(stamp, from);
 		},
 		onMessage(message) {
 			switch (message.kind) {
 				case 'reading': {
-					fleet.heardReading(message, clock());
+					fleet.recordPeerPrefillBacklog(message, clock());
 					return;
 				}
 
 				case 'crashes':
 				case 'quarantine':
 				case 'served': {
-					quarantine.hear(message, clock());
+					quarantine.receive(message, clock());
 					return;
 				}
 
 				case 'backend-limits': {
-					backendLimits.hear(message, clock());
+					backendLimits.receive(message, clock());
 					return;
 				}
 
@@ -200,7 +200,7 @@
 				case 'node':
 				case 'zone':
 				case 'totals': {
-					limits.hear(message, clock());
+					limits.receive(message, clock());
 				}
 			}
 		},
@@ -210,7 +210,7 @@
 	});
 	const shares = createNodeShares({
 		self: options.id,
-		ownRegion,
+		localRegion,
 		regionOf,
 		mesh,
 		clock,
@@ -221,33 +221,34 @@
 		windowMs: bounds.limitWindowMs,
 		zones: Object.keys(zones),
 		hasSettled: shares.hasSettled,
-		nodes: () => Math.max(minimumSharers, 1 + mesh.others().length),
-		draw: random.fraction,
+		nodes: () => Math.max(minimumSharingNodes, 1 + mesh.others().length),
+		randomFraction: random.fraction,
 	});
 	const senders = createSenderNodes({
 		others: mesh.others,
-		isNear: ({availabilityZone: zone}) => regionOf(zone) === ownRegion,
-		lastHeard: mesh.lastHeard,
+		sharesServers: ({availabilityZone: zone}) => regionOf(zone) === localRegion,
+		lastReceivedAt: mesh.lastReceivedAt,
 		clock,
 	});
 	const backendLimits = createBackendLimits({
 		self: options.id,
 		peers: senders.peers,
 		reachableFraction: senders.reachableFraction,
-		mayShare: () => shares.hasSettled() && mesh.self().status !== 'leaving',
-		tell: mesh.tell,
+		canUseLimitedServers: () =>
+			shares.hasSettled() && mesh.self().status !== 'leaving',
+		send: mesh.send,
 		without: options.without,
 		logger,
 	});
-	const standings = createServerStandings({
+	const announcements = createServerAnnouncements({
 		logger,
-		onLeaving({server, life, source}) {
-			takeIn(mirror.leavingAnnounced(server, life));
+		onLeaving({server, incarnationId, source}) {
+			takeIn(mirror.recordShutdown(server, incarnationId));
 			if (source !== 'node') {
-				leavingBroadcast.learned({server, life}, clock());
+				leavingBroadcast.recordAnnouncement({server, incarnationId}, clock());
 			}
 		},
-		draw: random.fraction,
+		randomFraction: random.fraction,
 	});
 	const leavingBroadcast = createLeavingBroadcast({
 		self: options.id,
@@ -255,16 +256,16 @@
 			options.id,
 			createDerived(senders.peers, (members) => members.map(({id}) => id)),
 		),
-		tellPeers(message) {
-			mesh.tell(senders.peers(), message);
+		sendToPeers(message) {
+			mesh.send(senders.peers(), message);
 		},
 	});
 	const hearLeaving = ({servers}: ServerLeavingMessage, now: number) => {
-		for (const {server, life} of servers) {
-			leavingBroadcast.heard(life);
-			standings.leaves({
+		for (const {server, incarnationId} of servers) {
+			leavingBroadcast.recordPeerBroadcast(incarnationId);
+			announcements.recordShutdown({
 				server,
-				life,
+				incarnationId,
 				source: 'node',
 				sentAt: now,
 				receivedAt: now,
@@ -272,30 +273,30 @@
 		}
 	};
 
-	const statements = createStatementIntake({
+	const statements = createStatementHandler({
 		headers: options.headers,
-		onLeaving: standings.leaves,
-		onRest: standings.asksForRest,
-		onLimit: backendLimits.stated,
+		onLeaving: announcements.recordShutdown,
+		onBackoff: announcements.recordBackoff,
+		onLimit: backendLimits.recordStatement,
 		onFault: onBadStatement,
 	});
 	const prompts = createPromptSharing({
 		caches: options.caches,
 		without: options.without,
 		mirror,
-		questions,
+		peerClient,
 		availabilityZone,
 		zones: Object.keys(zones),
 		mesh,
 		hasSettled: shares.hasSettled,
 		backendLimits,
-		rests: standings.rests,
+		backoffs: announcements.backoffs,
 		statements,
 		clock,
 		logger,
 	});
 	const fleet = createBackendFleet({
-		nodesEverHeard: shares.nodesEverHeard,
+		knownNodes: shares.knownNodeIds,
 		senderRank: shares.senderRank,
 		nodesServing: shares.nodesServing,
 		service: (name) => mirror.routes()?.service(name),
@@ -303,24 +304,24 @@
 		coldSlack: bounds.coldSlack,
 		availabilityZone,
 		mayUseCold: shares.hasSettled,
-		keeps: prompts.keeps,
+		isCached: prompts.isCached,
 		backendLimits,
-		rests: standings.rests,
-		tellReading: createReadingTeller({
+		backoffs: announcements.backoffs,
+		sendPrefillBacklog: createPrefillBacklogSender({
 			mesh,
-			ownRegion,
+			localRegion,
 			without: options.without,
 		}),
-		draw: random.fraction,
+		randomFraction: random.fraction,
 		without: options.without,
 	});
-	onSlept = fleet.slept;
+	onSlept = fleet.shiftClock;
 	const placement = createPlacementView({mirror, regions, regionOf});
 	const quarantine = createQuarantine({
 		self: options.id,
 		usable: mesh.usable,
-		tell: mesh.tell,
-		ask: onDoubt,
+		send: mesh.send,
+		probe: onProbeNeeded,
 		onQuarantined,
 		random,
 		without: options.without,
@@ -332,16 +333,16 @@
 		fleet,
 		client,
 		placement,
-		ownRegion,
+		localRegion,
 		regionOf,
 		clock,
 		logger,
 		onLimits,
-		onServerGone(life, isPlanned) {
+		onServerGone(incarnationId, isPlanned) {
 			if (isPlanned) {
-				quarantine.acquitted(life);
+				quarantine.crashRuledOut(incarnationId);
 			} else {
-				quarantine.gone(life);
+				quarantine.entryRemoved(incarnationId);
 			}
 		},
 	});
@@ -350,8 +351,8 @@
 		source: options.registry,
 		without: options.without,
 		mesh,
-		questions,
-		ownRegion,
+		peerClient,
+		localRegion,
 		hasSettled: shares.hasSettled,
 		random,
 		clock,
@@ -359,20 +360,20 @@
 		onChanges(changes) {
 			takeIn(changes);
 			prompts.refresh();
-			onTakenIn();
+			onChangesApplied();
 		},
 	});
 
 	return {
 		clock,
 		random,
-		ownRegion,
+		localRegion,
 		regions,
 		regionOf,
 		mirror,
 		registry,
 		mesh,
-		questions,
+		peerClient,
 		shares,
 		prompts,
 		limits,
@@ -381,7 +382,7 @@
 		placement,
 		quarantine,
 		backendLimits,
-		standings,
+		announcements,
 		leavingBroadcast,
 		statements,
 	};
--- a/src/gateway/sharing/reading-teller.ts
+++ b/src/gateway/sharing/prefill-backlog-sender.ts
@@ -1,14 +1,14 @@
-import type {ReadingTeller} from '../../backends/index.ts';
-import type {Without} from '../../mechanisms/index.ts';
+import type {PrefillBacklogSender} from '../../backends/index.ts';
+import type {DisabledMechanisms} from '../../mechanisms/index.ts';
 import type {Mesh} from '../../mesh/index.ts';
 
 /**
 What a teller is built from.
 */
-export type ReadingTellerOptions = {
-	readonly mesh: Pick<Mesh, 'self' | 'usableIn' | 'tell'>;
-	readonly ownRegion: string;
-	readonly without: Without;
+export type PrefillBacklogSenderOptions = {
+	readonly mesh: Pick<Mesh, 'self' | 'usableIn' | 'send'>;
+	readonly localRegion: string;
+	readonly without: DisabledMechanisms;
 };
 
 /**
@@ -17,11 +17,11 @@
 An engine that reads a long prompt makes all that comes after it wait, and states nothing of it: where only the node that
 sent the prompt knew, the others would send it their short requests.
 */
-export const createReadingTeller = ({
+export const createPrefillBacklogSender = ({
 	mesh,
-	ownRegion,
+	localRegion,
 	without,
-}: ReadingTellerOptions): ReadingTeller => {
+}: PrefillBacklogSenderOptions): PrefillBacklogSender => {
 	let sequence = 0;
 
 	return (server, tokens) => {
@@ -31,7 +31,7 @@
 
 		sequence += 1;
 		const {id, incarnation} = mesh.self();
-		mesh.tell(mesh.usableIn(ownRegion), {
+		mesh.send(mesh.usableIn(localRegion), {
 			kind: 'reading',
 			from: `${id} ${incarnation}`,
 			server,
--- a/src/gateway/sharing/prompt-sharing.ts
+++ b/src/gateway/sharing/prompt-sharing.ts
@@ -1,8 +1,8 @@
 import {randomUUID} from 'node:crypto';
 import type {Logger} from '../../logging/index.ts';
-import type {Without} from '../../mechanisms/index.ts';
-import {createZoneHolders} from '../../membership/index.ts';
-import type {Mesh, PeerQuestions} from '../../mesh/index.ts';
+import type {DisabledMechanisms} from '../../mechanisms/index.ts';
+import {createZoneRoleHolders} from '../../membership/index.ts';
+import type {Mesh, PeerClient} from '../../mesh/index.ts';
 import {
 	createCacheReader,
 	createFeedFollower,
@@ -10,14 +10,14 @@
 	createPromptMap,
 	type CacheSource,
 	type FeedAnswer,
-	type FeedQuestion,
+	type FeedQuery,
 	type FeedSource,
-	type ReadEngine,
+	type CacheEngine,
 } from '../../prompts/index.ts';
-import {lifeOf, type RegistryMirror} from '../../registry/index.ts';
+import {incarnationIdOf, type RegistryMirror} from '../../registry/index.ts';
 import type {
-	ServerRests,
-	StatementIntake,
+	ServerBackoffs,
+	StatementHandler,
 } from '../../server-statements/index.ts';
 import type {BackendLimits} from '../../backend-limits/index.ts';
 import {smallestSharedTokens} from '../../routes/index.ts';
@@ -30,11 +30,11 @@
 	/**
 	Whether a backend server is known to keep a prompt part.
 	*/
-	keeps(server: string, part: string): boolean;
+	isCached(server: string, part: string): boolean;
 	/**
 	Answers another node.
 	*/
-	answer(question: FeedQuestion): Promise<FeedAnswer>;
+	answer(question: FeedQuery): Promise<FeedAnswer>;
 	/**
 	Forgets backend servers that are gone; to be called when the registry's copy has changed.
 	*/
@@ -51,9 +51,9 @@
 	Undefined where engines do not tell of their memory.
 	*/
 	readonly caches: CacheSource | undefined;
-	readonly without: Without;
+	readonly without: DisabledMechanisms;
 	readonly mirror: RegistryMirror;
-	readonly questions: PeerQuestions;
+	readonly peerClient: PeerClient;
 	readonly availabilityZone: string;
 	readonly zones: readonly string[];
 	readonly mesh: Pick<Mesh, 'self' | 'usable'>;
@@ -64,15 +64,15 @@
 	/**
 	The limits that engines name.
 	*/
-	readonly backendLimits: Pick<BackendLimits, 'readingPauseMs'>;
+	readonly backendLimits: Pick<BackendLimits, 'enginePollIntervalMs'>;
 	/**
 	The rests that engines asked this node for.
 	*/
-	readonly rests: Pick<ServerRests, 'leftMs'>;
+	readonly backoffs: Pick<ServerBackoffs, 'remainingMs'>;
 	/**
 	Takes in what engines state in their answers.
 	*/
-	readonly statements: StatementIntake;
+	readonly statements: StatementHandler;
 	/**
 	Milliseconds that only rise.
 	*/
@@ -84,7 +84,7 @@
 Engines that a node reads before it knows who has the duty to. After a stop of all nodes each of them does so:
 with no bound, the calls grow with nodes times engines.
 */
-export const earlyEngines = 4;
+export const startupEngineLimit = 4;
 
 // Its holder reads the engines of its zone, and follows the holders of the other zones.
 const duty = 'prompts';
@@ -97,7 +97,7 @@
 export const createPromptSharing = (
 	options: PromptSharingOptions,
 ): PromptSharing => {
-	const {mirror, mesh, questions, availabilityZone, zones, without} = options;
+	const {mirror, mesh, peerClient, availabilityZone, zones, without} = options;
 	const map = createPromptMap();
 	const zoneOf = (server: string) =>
 		mirror.servers().get(server)?.server.availabilityZone;
@@ -107,11 +107,11 @@
 		isInZone: (server) => zoneOf(server) === availabilityZone,
 	});
 
-	const holders = createZoneHolders(duty, mesh.self, mesh.usable);
+	const holders = createZoneRoleHolders(duty, mesh.self, mesh.usable);
 	const isHolder = (): boolean =>
 		holders().get(availabilityZone)?.id === mesh.self().id;
 
-	const enginesOfZone = (): readonly ReadEngine[] => {
+	const enginesOfZone = (): readonly CacheEngine[] => {
 		const routes = mirror.routes();
 		return mirror
 			.servers()
@@ -128,14 +128,14 @@
 
 	// A node that has just started does not know yet who has the duty, and reads some engines for itself
 	// meanwhile: after a stop of all nodes it would otherwise have long prompts read again that they keep.
-	const enginesToRead = (): readonly ReadEngine[] => {
+	const enginesToRead = (): readonly CacheEngine[] => {
 		if (options.hasSettled() || without.has('early-cache-events')) {
 			return isHolder() ? enginesOfZone() : [];
 		}
 
 		return rendezvousOrder(mesh.self().id, enginesOfZone(), ({id}) => id).slice(
 			0,
-			earlyEngines,
+			startupEngineLimit,
 		);
 	};
 
@@ -157,15 +157,17 @@
 			source: caches,
 			engines: enginesToRead,
 			publish: feed.publish,
-			smallestTokens: smallestSharedTokens,
-			pauseMs: (engine) => options.backendLimits.readingPauseMs(lifeOf(engine)),
-			restMs: (engine) => options.rests.leftMs(lifeOf(engine), options.clock()),
+			minimumTokens: smallestSharedTokens,
+			minimumIntervalMs: (engine) =>
+				options.backendLimits.enginePollIntervalMs(incarnationIdOf(engine)),
+			backoffMs: (engine) =>
+				options.backoffs.remainingMs(incarnationIdOf(engine), options.clock()),
 			clock: options.clock,
 			onHead(engine, head, sentAt) {
-				options.statements.heard({
+				options.statements.handle({
 					...head,
 					server: engine.id,
-					life: lifeOf(engine),
+					incarnationId: incarnationIdOf(engine),
 					source: 'cache read',
 					sentAt,
 					receivedAt: options.clock(),
@@ -177,12 +179,12 @@
 	const follower = createFeedFollower({
 		sources,
 		ask: async ({address}, question) =>
-			questions.promptsAfter(address, question),
+			peerClient.promptsAfter(address, question),
 		publish: feed.publish,
 	});
 
 	return {
-		keeps: map.holds,
+		isCached: map.holds,
 		answer: feed.answer,
 		refresh() {
 			const gone = map.servers().filter((id) => !mirror.servers().has(id));
--- a/src/gateway/sharing/registry-changes.ts
+++ b/src/gateway/sharing/registry-changes.ts
@@ -1,7 +1,7 @@
 import type {BackendFleet, UpstreamClient} from '../../backends/index.ts';
 import type {Logger} from '../../logging/index.ts';
 import {
-	lifeOf,
+	incarnationIdOf,
 	type MirrorChange,
 	type RegistryMirror,
 } from '../../registry/index.ts';
@@ -16,7 +16,7 @@
 	readonly fleet: BackendFleet;
 	readonly client: UpstreamClient;
 	readonly placement: PlacementView;
-	readonly ownRegion: string;
+	readonly localRegion: string;
 	readonly regionOf: (availabilityZone: string) => string;
 	readonly clock: () => number;
 	readonly logger: Logger;
@@ -47,7 +47,7 @@
 		placement.refresh();
 		syncFleet(options);
 		// After the fleet has its servers, for those of a zone taken back come in anew.
-		fleet.distrust(serversTakenBack(fleet, changes));
+		fleet.markPossiblyCold(serversTakenBack(fleet, changes));
 	};
 };
 
@@ -98,7 +98,7 @@
 	mirror,
 	fleet,
 	client,
-	ownRegion,
+	localRegion,
 	regionOf,
 	clock,
 	logger,
@@ -107,11 +107,11 @@
 	const usable = [...mirror.servers()].filter(
 		([, {server}]) =>
 			!server.isLeaving &&
-			regionOf(server.availabilityZone) === ownRegion &&
+			regionOf(server.availabilityZone) === localRegion &&
 			!mirror.isEvacuated(server.availabilityZone),
 	);
 	const lives = new Map(
-		fleet.ids().map((id) => [id, lifeOf(fleet.server(id)!)]),
+		fleet.ids().map((id) => [id, incarnationIdOf(fleet.server(id)!)]),
 	);
 	const gone = new Set(fleet.ids());
 	const restarted = fleet.sync(new Map(usable), clock());
@@ -128,7 +128,10 @@
 		client.forget(`server ${id}`);
 		const now = mirror.servers().get(id);
 		const life = lives.get(id)!;
-		onServerGone(life, now !== undefined && lifeOf(now.server) === life);
+		onServerGone(
+			life,
+			now !== undefined && incarnationIdOf(now.server) === life,
+		);
 	}
 };
 
--- a/src/gateway/sharing/registry-sharing.ts
+++ b/src/gateway/sharing/registry-sharing.ts
@@ -1,7 +1,7 @@
-import type {Without} from '../../mechanisms/index.ts';
+import type {DisabledMechanisms} from '../../mechanisms/index.ts';
 import type {Logger} from '../../logging/index.ts';
-import {dutyHolders} from '../../membership/index.ts';
-import type {Mesh, PeerQuestions} from '../../mesh/index.ts';
+import {roleHolders} from '../../membership/index.ts';
+import type {Mesh, PeerClient} from '../../mesh/index.ts';
 import {
 	createRegistryFollower,
 	createRegistryRelay,
@@ -29,7 +29,7 @@
 	/**
 	Says what another node has of the registry; a node that is behind asks it.
 	*/
-	heard(stamp: RegistryStamp, from: Address): void;
+	receiveStamp(stamp: RegistryStamp, from: Address): void;
 	/**
 	Milliseconds since the registry last confirmed the copy; infinite before it did.
 	*/
@@ -48,12 +48,12 @@
 What sharing is built from.
 */
 export type RegistrySharingOptions = {
-	readonly without: Without;
+	readonly without: DisabledMechanisms;
 	readonly mirror: RegistryMirror;
 	readonly source: RegistrySource;
 	readonly mesh: Mesh;
-	readonly questions: PeerQuestions;
-	readonly ownRegion: string;
+	readonly peerClient: PeerClient;
+	readonly localRegion: string;
 	/**
 	Whether this node had time to hear of the others.
 	*/
@@ -80,10 +80,10 @@
 export const createRegistrySharing = (
 	options: RegistrySharingOptions,
 ): RegistrySharing => {
-	const {mirror, mesh, questions, random, clock} = options;
+	const {mirror, mesh, peerClient, random, clock} = options;
 
 	const pickPeer = (): Address | undefined => {
-		const near = mesh.usableIn(options.ownRegion);
+		const near = mesh.usableIn(options.localRegion);
 		const peers =
 			near.length > 0 && random.below(2) === 0 ? near : mesh.usable();
 		return peers.length === 0
@@ -98,7 +98,7 @@
 
 		const self = mesh.self();
 		const holders = options.hasSettled()
-			? dutyHolders(duty, self, mesh.usable(), readersPerZone)
+			? roleHolders(duty, self, mesh.usable(), readersPerZone)
 			: [self];
 		return holders.some(({id}) => id === self.id)
 			? undefined
@@ -108,21 +108,21 @@
 	const follower = createRegistryFollower({
 		mirror,
 		registry: options.source,
-		askPeer: async (peer, after) => questions.registryAfter(peer, after),
+		askPeer: async (peer, after) => peerClient.registryAfter(peer, after),
 		pickPeer,
 		relay: relayToAsk,
-		askRelay: async (peer, after) => questions.relayedAfter(peer, after),
+		askRelay: async (peer, after) => peerClient.relayedAfter(peer, after),
 		// Callers wait for the first routes.
 		hasJustStarted: () =>
 			!options.hasSettled() && mirror.routes() !== undefined,
 		clock,
-		draw: random.fraction,
+		randomFraction: random.fraction,
 		logger: options.logger,
 		onRead() {
 			relay.release();
 		},
 		onChanges: options.onChanges,
-		onNews() {
+		announceChanges() {
 			mesh.announce();
 		},
 	});
@@ -137,7 +137,7 @@
 		start: follower.start,
 		stop: follower.stop,
 		tick: follower.tick,
-		heard: follower.heard,
+		receiveStamp: follower.receiveStamp,
 		ageMs: () => clock() - (follower.confirmedAt() ?? -Infinity),
 		answer: (after) =>
 			mirror.revision() === 0
--- a/src/limits/admission-part.ts
+++ b/src/limits/admission-fraction.ts
@@ -19,7 +19,7 @@
 	/**
 	The part of it that was let through in zones that are silent now, as they told it last.
 	*/
-	readonly passedBySilent: number;
+	readonly admittedByUnreachable: number;
 };
 
 // Time constant of the correction towards the window's limit, in seconds. Counts are up to a second old, so a faster correction would
@@ -35,7 +35,7 @@
 plays of 12 nodes with a hot account and a cut, the most in a window was 1.94 times what is allowed at worst with 0.875,
 1.63 with this. Where a region has lost its power the others refuse that much of its callers the earlier.
 */
-export const limitPartWhileSilent = 0.8;
+export const limitFractionWhileUnreachable = 0.8;
 
 /**
 The part of an account's requests that may be let through so that what all nodes let through in a window stays at the
@@ -46,17 +46,17 @@
 
 The window's length is in milliseconds.
 */
-export const admissionPart = (
+export const admissionFraction = (
 	limit: WindowLimit,
 	known: KnownUsage,
 	windowMs: number,
 ): number => {
-	const {total, passedBySilent} = known;
-	const scale = passedBySilent > 0 ? limitPartWhileSilent : 1;
+	const {total, admittedByUnreachable} = known;
+	const scale = admittedByUnreachable > 0 ? limitFractionWhileUnreachable : 1;
 	const seconds = windowMs / 1000;
 	const perSecond = limit.perSecond * scale;
 	const target = (perSecond * seconds + limit.burst * scale) * targetPart;
-	const correction = (target - total.passed) / correctionSeconds;
-	const rate = perSecond - passedBySilent / seconds + correction;
-	return total.asked <= rate ? 1 : Math.max(0, rate / total.asked);
+	const correction = (target - total.admitted) / correctionSeconds;
+	const rate = perSecond - admittedByUnreachable / seconds + correction;
+	return total.requested <= rate ? 1 : Math.max(0, rate / total.requested);
 };
--- a/src/limits/client-limits.ts
+++ b/src/limits/client-limits.ts
@@ -51,7 +51,7 @@
 /**
 Over this many milliseconds demand is averaged.
 */
-export const demandWindow = 2000;
+export const demandWindowMs = 2000;
 
 /**
 Demand counted for every node, so that an idle node can admit a first request at once.
@@ -72,7 +72,8 @@
 	let peerRates = new Map<string, number>();
 
 	const decayed = (account: Account, now: number) =>
-		account.rate * Math.exp(-Math.max(0, now - account.ratedAt) / demandWindow);
+		account.rate *
+		Math.exp(-Math.max(0, now - account.ratedAt) / demandWindowMs);
 
 	const share = (clientName: string, now: number): number => {
 		const account = accounts.get(clientName);
@@ -100,7 +101,7 @@
 	};
 
 	const countDemand = (account: Account, now: number) => {
-		account.rate = decayed(account, now) + 1000 / demandWindow;
+		account.rate = decayed(account, now) + 1000 / demandWindowMs;
 		account.ratedAt = now;
 	};
 
--- a/src/limits/known-total.ts
+++ b/src/limits/known-total.ts
@@ -1,8 +1,8 @@
 import {
-	admissionPart,
-	limitPartWhileSilent,
+	admissionFraction,
+	limitFractionWhileUnreachable,
 	type WindowLimit,
-} from './admission-part.ts';
+} from './admission-fraction.ts';
 import type {Usage} from './usage-window.ts';
 
 /**
@@ -12,7 +12,7 @@
 export type AccountTotal = {
 	readonly account: string;
 	readonly total: Usage;
-	readonly passedBySilent: number;
+	readonly admittedByUnreachable: number;
 };
 
 /**
@@ -23,13 +23,13 @@
 	/**
 	What this node had told of the account when the total came.
 	*/
-	readonly ownThen: Usage;
+	readonly ownAtReceipt: Usage;
 };
 
 /**
 A part of a limit.
 */
-export const partOf = (
+export const scaleLimit = (
 	{perSecond, burst}: WindowLimit,
 	part: number,
 ): WindowLimit => ({
@@ -40,17 +40,23 @@
 /**
 The usage of all nodes: what was told, and what this node has added since it told its own part of it.
 */
-export const totalNow = (told: KnownTotal | undefined, own: Usage): Usage => {
+export const currentTotal = (
+	told: KnownTotal | undefined,
+	own: Usage,
+): Usage => {
 	if (!told) {
 		return own;
 	}
 
-	const {total, ownThen} = told;
+	const {total, ownAtReceipt} = told;
 	return {
-		asked: Math.max(own.asked, total.total.asked + own.asked - ownThen.asked),
-		passed: Math.max(
-			own.passed,
-			total.total.passed + own.passed - ownThen.passed,
+		requested: Math.max(
+			own.requested,
+			total.total.requested + own.requested - ownAtReceipt.requested,
+		),
+		admitted: Math.max(
+			own.admitted,
+			total.total.admitted + own.admitted - ownAtReceipt.admitted,
 		),
 	};
 };
@@ -60,18 +66,18 @@
 was its own when it last did, and to an equal share where it had less: nodes that are cut off at the same time would
 otherwise use the limit many times over.
 */
-export const partAlone = (
+export const isolatedAdmissionFraction = (
 	limit: WindowLimit,
 	told: KnownTotal | undefined,
 	own: Usage,
 	{windowMs, nodes}: {readonly windowMs: number; readonly nodes: number},
 ): number => {
-	const total = told?.total.total.passed ?? 0;
-	const ownPart = told && total > 0 ? told.ownThen.passed / total : 0;
+	const total = told?.total.total.admitted ?? 0;
+	const ownPart = told && total > 0 ? told.ownAtReceipt.admitted / total : 0;
 	const share = Math.min(1, Math.max(ownPart, 1 / nodes));
-	return admissionPart(
-		partOf(limit, share * limitPartWhileSilent),
-		{total: own, passedBySilent: 0},
+	return admissionFraction(
+		scaleLimit(limit, share * limitFractionWhileUnreachable),
+		{total: own, admittedByUnreachable: 0},
 		windowMs,
 	);
 };
--- a/src/limits/shared-limits.ts
+++ b/src/limits/shared-limits.ts
@@ -1,8 +1,8 @@
-import {admissionPart, type WindowLimit} from './admission-part.ts';
+import {admissionFraction, type WindowLimit} from './admission-fraction.ts';
 import {
-	partAlone,
-	partOf,
-	totalNow,
+	isolatedAdmissionFraction,
+	scaleLimit,
+	currentTotal,
 	type AccountTotal,
 	type KnownTotal,
 } from './known-total.ts';
@@ -11,7 +11,7 @@
 	createUsageLedger,
 	type AccountUsage,
 } from './usage-ledger.ts';
-import {createUsageReport} from './usage-report.ts';
+import {createUsageReporter} from './usage-report.ts';
 import {
 	createUsageWindow,
 	noUsage,
@@ -39,18 +39,18 @@
 	/**
 	The part of each limit that the nodes that hear each other may use, from 0 to 1.
 	*/
-	readonly limitPart: number;
+	readonly limitFraction: number;
 	readonly accounts: readonly AccountTotal[];
 };
 
 /**
 What a zone tells the others.
 */
-export type ZoneWord = {
+export type ZoneUsage = {
 	/**
 	The part of the zone's nodes that its sum is of, from 0 to 1.
 	*/
-	readonly part: number;
+	readonly nodeFraction: number;
 	readonly usages: readonly AccountUsage[];
 };
 
@@ -61,7 +61,7 @@
 	/**
 	The part of its requests that is let through now, from 0 to 1.
 	*/
-	readonly part: number;
+	readonly admissionFraction: number;
 	/**
 	What that is worked out from: the usage of all nodes, or this node's own where it hears of no other.
 	*/
@@ -95,7 +95,11 @@
 	/**
 	At the node that adds up: what a node of the zone tells.
 	*/
-	hearNode(node: string, usages: readonly AccountUsage[], now: number): void;
+	receiveNodeUsage(
+		node: string,
+		usages: readonly AccountUsage[],
+		now: number,
+	): void;
 	/**
 	At the node that adds up: what it has to tell the other zones.
 	*/
@@ -103,7 +107,7 @@
 	/**
 	At the node that adds up: what another zone tells.
 	*/
-	hearZone(zone: string, word: ZoneWord, now: number): void;
+	receiveZoneUsage(zone: string, word: ZoneUsage, now: number): void;
 	/**
 	At the node that adds up: what it has to tell the nodes of the zone, itself included.
 	*/
@@ -111,7 +115,7 @@
 	/**
 	What the node that adds up tells; accounts that it does not name stay as they were.
 	*/
-	hearTotals(totals: LimitTotals, now: number): void;
+	receiveTotals(totals: LimitTotals, now: number): void;
 	/**
 	How an account stands.
 	*/
@@ -137,7 +141,7 @@
 	/**
 	The part of the nodes of the own zone that can be heard, from 0 to 1.
 	*/
-	readonly zonePart: () => number;
+	readonly zoneReachableFraction: () => number;
 	/**
 	Nodes of all regions, this one included.
 	*/
@@ -145,30 +149,30 @@
 	/**
 	A number from 0 up to, but without, 1.
 	*/
-	readonly draw: () => number;
+	readonly randomFraction: () => number;
 };
 
 /**
 Time without a report after which a zone counts as unreachable, in milliseconds.
 */
-export const zoneSilentMs = 1600;
+export const zoneTimeoutMs = 1600;
 
 /**
 A node is on its own when it has not heard the one that adds up for so long, in milliseconds: as long as it takes until
 another node takes the place of one that is gone.
 */
-export const aloneAfterMs = 3000;
+export const isolationTimeoutMs = 3000;
 
 /**
 What a silent zone used counts for so long, in milliseconds. By then it is gone, or a cut lasts so long that the callers
 of both sides are served for want of a way to tell.
 */
-export const silentZoneKeptMs = 30_000;
+export const unreachableZoneRetentionMs = 30_000;
 
 /**
 The shortest time after which a limited caller is told to come back, in seconds.
 */
-export const shortestLimitedSeconds = 0.5;
+export const minimumRetryAfterSeconds = 0.5;
 
 type OwnAccount = {
 	readonly limit: WindowLimit;
@@ -185,20 +189,20 @@
 export const createSharedLimits = ({
 	windowMs,
 	otherZones,
-	zonePart,
+	zoneReachableFraction,
 	hasSettled,
 	nodes,
-	draw,
+	randomFraction,
 }: SharedLimitsOptions): SharedLimits => {
 	const own = new Map<string, OwnAccount>();
 	const zoneNodes = createUsageLedger(windowMs);
-	const zones = createUsageLedger(silentZoneKeptMs);
-	const reportOwn = createUsageReport();
-	const reportZone = createUsageReport();
-	const reportTotals = createUsageReport();
+	const zones = createUsageLedger(unreachableZoneRetentionMs);
+	const reportOwn = createUsageReporter();
+	const reportZone = createUsageReporter();
+	const reportTotals = createUsageReporter();
 	const known = new Map<string, KnownTotal>();
 	const zoneParts = new Map<string, number>();
-	let limitPart = 1;
+	let limitFraction = 1;
 	let heardAt = -Infinity;
 
 	// What was let through under another limit does not count: one that is lowered far below what an account sends
@@ -233,21 +237,24 @@
 		const ownUsage = open(account, limit).window.usage(now);
 		const told = known.get(account);
 		const ageMs = now - heardAt;
-		if (ageMs > aloneAfterMs) {
-			const part = hasSettled()
-				? partAlone(limit, told, ownUsage, {windowMs, nodes: nodes()})
+		if (ageMs > isolationTimeoutMs) {
+			const nodeFraction = hasSettled()
+				? isolatedAdmissionFraction(limit, told, ownUsage, {
+						windowMs,
+						nodes: nodes(),
+					})
 				: 1;
-			return {part, usage: ownUsage, ageMs};
+			return {admissionFraction: nodeFraction, usage: ownUsage, ageMs};
 		}
 
-		const usage = totalNow(told, ownUsage);
-		const passedBySilent = told?.total.passedBySilent ?? 0;
-		const part = admissionPart(
-			partOf(limit, limitPart),
-			{total: usage, passedBySilent},
+		const usage = currentTotal(told, ownUsage);
+		const admittedByUnreachable = told?.total.admittedByUnreachable ?? 0;
+		const nodeFraction = admissionFraction(
+			scaleLimit(limit, limitFraction),
+			{total: usage, admittedByUnreachable},
 			windowMs,
 		);
-		return {part, usage, ageMs};
+		return {admissionFraction: nodeFraction, usage, ageMs};
 	};
 
 	// What cannot be heard may be cut off, with demand of its own: nodes of the own zone and of others, and zones that this
@@ -259,23 +266,26 @@
 		}
 
 		const parts = otherZones.map((zone) => zoneParts.get(zone) ?? 0);
-		const sum = parts.reduce((total, part) => total + part, zonePart());
+		const sum = parts.reduce(
+			(total, nodeFraction) => total + nodeFraction,
+			zoneReachableFraction(),
+		);
 		return sum / (1 + otherZones.length);
 	};
 
 	return {
 		admit(account, limit, count, now) {
 			const {window} = open(account, limit);
-			window.asked(count, now);
-			const {part} = stateOf(account, limit, now);
-			if (part >= 1 || draw() < part) {
-				window.passed(count, now);
+			window.recordRequested(count, now);
+			const {admissionFraction: nodeFraction} = stateOf(account, limit, now);
+			if (nodeFraction >= 1 || randomFraction() < nodeFraction) {
+				window.recordAdmitted(count, now);
 				return {kind: 'admitted'};
 			}
 
 			return {
 				kind: 'limited',
-				retryAfterSeconds: retryAfter(part, windowMs, draw()),
+				retryAfterSeconds: retryAfter(nodeFraction, windowMs, randomFraction()),
 			};
 		},
 		report(now) {
@@ -287,33 +297,33 @@
 
 			return reportOwn(usages);
 		},
-		hearNode: zoneNodes.hear,
+		receiveNodeUsage: zoneNodes.record,
 		zoneSum: (now) => reportZone(zoneNodes.sums(now)),
-		hearZone(zone, {part, usages}, now) {
+		receiveZoneUsage(zone, {nodeFraction, usages}, now) {
 			if (!otherZones.includes(zone)) {
 				return;
 			}
 
-			zoneParts.set(zone, part);
-			zones.hear(zone, usages, now);
+			zoneParts.set(zone, nodeFraction);
+			zones.record(zone, usages, now);
 		},
 		totals(now) {
 			const sums = new Map(zoneNodes.sums(now));
 			addUsages(sums, zones.sums(now));
-			const silent = zones.passedBySilent(zoneSilentMs, now);
+			const silent = zones.admittedByUnreachable(zoneTimeoutMs, now);
 			const accounts = reportTotals(sums).map(({account, ...total}) => ({
 				account,
 				total,
-				passedBySilent: silent.get(account) ?? 0,
+				admittedByUnreachable: silent.get(account) ?? 0,
 			}));
-			return {limitPart: usablePart(), accounts};
+			return {limitFraction: usablePart(), accounts};
 		},
-		hearTotals(given, now) {
+		receiveTotals(given, now) {
 			heardAt = now;
-			({limitPart} = given);
+			({limitFraction} = given);
 			for (const total of given.accounts) {
-				const ownThen = own.get(total.account)?.told ?? noUsage;
-				known.set(total.account, {total, ownThen});
+				const ownAtReceipt = own.get(total.account)?.told ?? noUsage;
+				known.set(total.account, {total, ownAtReceipt});
 			}
 		},
 		state: stateOf,
@@ -322,7 +332,12 @@
 
 // The less is let through, the longer the account is likely to stay beyond its limit; at the longest it is as long as
 // half a window. Spread out, so that those who are refused together do not come back together.
-const retryAfter = (part: number, windowMs: number, draw: number): number => {
-	const seconds = (windowMs / 2000) * (1 - part) * (0.75 + draw / 2);
-	return Math.max(shortestLimitedSeconds, seconds);
+const retryAfter = (
+	nodeFraction: number,
+	windowMs: number,
+	randomFraction: number,
+): number => {
+	const seconds =
+		(windowMs / 2000) * (1 - nodeFraction) * (0.75 + randomFraction / 2);
+	return Math.max(minimumRetryAfterSeconds, seconds);
 };
--- a/src/limits/usage-ledger.ts
+++ b/src/limits/usage-ledger.ts
@@ -12,7 +12,7 @@
 	/**
 	Takes in what a teller says; accounts that it does not name stay as they were.
 	*/
-	hear(teller: string, usages: readonly AccountUsage[], now: number): void;
+	record(teller: string, usages: readonly AccountUsage[], now: number): void;
 	/**
 	The sum over all tellers, by account.
 	*/
@@ -20,7 +20,10 @@
 	/**
 	What those let through that were not heard for so long, by account.
 	*/
-	passedBySilent(silentMs: number, now: number): ReadonlyMap<string, number>;
+	admittedByUnreachable(
+		silentMs: number,
+		now: number,
+	): ReadonlyMap<string, number>;
 };
 
 type Entry = {readonly usages: Map<string, Usage>; heardAt: number};
@@ -29,7 +32,7 @@
 What a teller that is not heard was asked for counts no more after this time, in milliseconds: its callers go to other
 nodes. What it let through still does.
 */
-export const askedKeptMs = 1500;
+export const requestedRetentionMs = 1500;
 
 /**
 Builds an empty ledger.
@@ -48,15 +51,15 @@
 	};
 
 	return {
-		hear(teller, usages, now) {
+		record(teller, usages, now) {
 			const entry = entries.get(teller) ?? {usages: new Map(), heardAt: now};
 			entries.set(teller, entry);
 			entry.heardAt = now;
-			for (const {account, asked, passed} of usages) {
-				if (asked === 0 && passed === 0) {
+			for (const {account, requested, admitted} of usages) {
+				if (requested === 0 && admitted === 0) {
 					entry.usages.delete(account);
 				} else {
-					entry.usages.set(account, {asked, passed});
+					entry.usages.set(account, {requested, admitted});
 				}
 			}
 		},
@@ -64,20 +67,20 @@
 			dropOld(now);
 			const sums = new Map<string, Usage>();
 			for (const {usages, heardAt} of entries.values()) {
-				addUsages(sums, usages, now - heardAt <= askedKeptMs);
+				addUsages(sums, usages, now - heardAt <= requestedRetentionMs);
 			}
 
 			return sums;
 		},
-		passedBySilent(silentMs, now) {
+		admittedByUnreachable(silentMs, now) {
 			const sums = new Map<string, number>();
 			for (const {usages, heardAt} of entries.values()) {
 				if (now - heardAt <= silentMs) {
 					continue;
 				}
 
-				for (const [account, {passed}] of usages) {
-					sums.set(account, (sums.get(account) ?? 0) + passed);
+				for (const [account, {admitted}] of usages) {
+					sums.set(account, (sums.get(account) ?? 0) + admitted);
 				}
 			}
 
@@ -94,11 +97,11 @@
 	usages: ReadonlyMap<string, Usage>,
 	hasAsked = true,
 ): void => {
-	for (const [account, {asked, passed}] of usages) {
+	for (const [account, {requested, admitted}] of usages) {
 		const sum = sums.get(account);
 		sums.set(account, {
-			asked: (sum?.asked ?? 0) + (hasAsked ? asked : 0),
-			passed: (sum?.passed ?? 0) + passed,
+			requested: (sum?.requested ?? 0) + (hasAsked ? requested : 0),
+			admitted: (sum?.admitted ?? 0) + admitted,
 		});
 	}
 };
--- a/src/limits/usage-report.ts
+++ b/src/limits/usage-report.ts
@@ -4,18 +4,18 @@
 /**
 How often an account that has come to rest is told as such: reports travel in datagrams, some of which are lost.
 */
-export const restReports = 3;
+export const idleReports = 3;
 
 /**
 Builds what makes reports of usages: each account that has any, and for a while those that had some before.
 */
-export const createUsageReport = () => {
+export const createUsageReporter = () => {
 	const leftToTell = new Map<string, number>();
 
 	return (usages: ReadonlyMap<string, Usage>): readonly AccountUsage[] => {
-		for (const [account, {asked, passed}] of usages) {
-			if (asked > 0 || passed > 0) {
-				leftToTell.set(account, restReports + 1);
+		for (const [account, {requested, admitted}] of usages) {
+			if (requested > 0 || admitted > 0) {
+				leftToTell.set(account, idleReports + 1);
 			}
 		}
 
@@ -34,7 +34,7 @@
 	};
 };
 
-const rounded = ({asked, passed}: Usage): Usage => ({
-	asked: Math.round(asked),
-	passed: Math.round(passed),
+const rounded = ({requested, admitted}: Usage): Usage => ({
+	requested: Math.round(requested),
+	admitted: Math.round(admitted),
 });
--- a/src/limits/usage-window.ts
+++ b/src/limits/usage-window.ts
@@ -5,19 +5,19 @@
 	/**
 	Asked for in the last second.
 	*/
-	readonly asked: number;
+	readonly requested: number;
 	/**
 	Let through in the whole window.
 	*/
-	readonly passed: number;
+	readonly admitted: number;
 };
 
 /**
 Counts of one client account at one node.
 */
 export type UsageWindow = {
-	asked(count: number, now: number): void;
-	passed(count: number, now: number): void;
+	recordRequested(count: number, now: number): void;
+	recordAdmitted(count: number, now: number): void;
 	usage(now: number): Usage;
 };
 
@@ -28,7 +28,7 @@
 /**
 Nothing asked for, nothing let through.
 */
-export const noUsage: Usage = {asked: 0, passed: 0};
+export const noUsage: Usage = {requested: 0, admitted: 0};
 
 /**
 Builds a window without counts.
@@ -65,18 +65,18 @@
 	};
 
 	return {
-		asked(count, now) {
+		recordRequested(count, now) {
 			moveTo(now);
 			askedIn[current % length]! += count;
 		},
-		passed(count, now) {
+		recordAdmitted(count, now) {
 			moveTo(now);
 			passedIn[current % length]! += count;
 			passedSum += count;
 		},
 		usage(now) {
 			moveTo(now);
-			return {asked: askedLately(), passed: Math.max(0, passedSum)};
+			return {requested: askedLately(), admitted: Math.max(0, passedSum)};
 		},
 	};
 };
--- a/src/limits/waiting-line.ts
+++ b/src/limits/wait-queue.ts
@@ -17,7 +17,7 @@
 /**
 What happened to a request that asked to wait.
 */
-export type JoinVerdict<Item> =
+export type EnqueueResult<Item> =
 	| {readonly kind: 'waiting'}
 	| {readonly kind: 'full'}
 	| {readonly kind: 'displaced'; readonly waiter: Waiter<Item>};
@@ -25,8 +25,8 @@
 /**
 A short line of waiting requests, ordered by priority and then by deadline.
 */
-export type WaitingLine<Item> = {
-	join(waiter: Waiter<Item>): JoinVerdict<Item>;
+export type WaitQueue<Item> = {
+	enqueue(waiter: Waiter<Item>): EnqueueResult<Item>;
 	/**
 	Removes and returns the first that passes the test.
 	*/
@@ -45,9 +45,7 @@
  One client may hold at most half of the places, so that a greedy client's requests
  are answered `overloaded` before they crowd out the others.
  */
-export const createWaitingLine = <Item>(
-	capacity: number,
-): WaitingLine<Item> => {
+export const createWaitQueue = <Item>(capacity: number): WaitQueue<Item> => {
 	let waiters: ReadonlyArray<Waiter<Item>> = [];
 
 	const heldBy = (clientName: string) =>
@@ -62,7 +60,7 @@
 	};
 
 	return {
-		join(waiter) {
+		enqueue(waiter) {
 			if (heldBy(waiter.clientName) >= Math.max(1, capacity / 2)) {
 				return {kind: 'full'};
 			}
--- a/src/logging/logger.ts
+++ b/src/logging/logger.ts
@@ -51,7 +51,7 @@
 Bytes that wait to be written at the most; lines beyond are dropped and counted, for a reader that
 does not keep up must not hold the process up.
 */
-export const maximumLogBacklog = 262_144;
+export const maximumLogBacklogBytes = 262_144;
 
 let dropped = 0;
 
@@ -89,11 +89,11 @@
 	const stream = createWriteStream('', {
 		fd: standardOutput,
 		autoClose: false,
-		highWaterMark: maximumLogBacklog,
+		highWaterMark: maximumLogBacklogBytes,
 	});
 	stream.on('error', () => undefined);
 	return (line) => {
-		if (stream.writableLength > maximumLogBacklog) {
+		if (stream.writableLength > maximumLogBacklogBytes) {
 			dropped += 1;
 		} else {
 			stream.write(line);
--- a/src/mechanisms/mechanisms.ts
+++ b/src/mechanisms/mechanisms.ts
@@ -111,12 +111,14 @@
 /**
 The mechanisms that are switched off.
 */
-export type Without = ReadonlySet<Mechanism>;
+export type DisabledMechanisms = ReadonlySet<Mechanism>;
 
 /**
 Reads names separated by commas, or nothing.
 */
-export const parseWithout = (text: string): Result<Without, string> => {
+export const parseDisabledMechanisms = (
+	text: string,
+): Result<DisabledMechanisms, string> => {
 	const names = text
 		.split(',')
 		.map((name) => name.trim())
--- a/src/membership/membership-parameters.ts
+++ b/src/membership/membership-parameters.ts
@@ -2,9 +2,9 @@
 Periods and bounds of the failure detector, in milliseconds unless said otherwise.
 */
 export type MembershipParameters = {
-	readonly probeInterval: number;
-	readonly acknowledgeTimeout: number;
-	readonly suspicionTimeout: number;
+	readonly probeIntervalMs: number;
+	readonly acknowledgeTimeoutMs: number;
+	readonly suspicionTimeoutMs: number;
 	/**
 	Other members asked to probe on this node's behalf.
 	*/
@@ -13,7 +13,7 @@
 	One probe in this many goes to another zone; it also finds members that came back.
 	*/
 	readonly crossZoneEvery: number;
-	readonly forgetDeadAfter: number;
+	readonly deadRetentionMs: number;
 	/**
 	Most member statements in one message.
 	*/
@@ -24,11 +24,11 @@
 Parameters that suit fleets from a few to some hundreds of nodes.
 */
 export const defaultMembershipParameters: MembershipParameters = {
-	probeInterval: 700,
-	acknowledgeTimeout: 300,
-	suspicionTimeout: 2500,
+	probeIntervalMs: 700,
+	acknowledgeTimeoutMs: 300,
+	suspicionTimeoutMs: 2500,
 	indirectProbes: 2,
 	crossZoneEvery: 3,
-	forgetDeadAfter: 7_200_000,
+	deadRetentionMs: 7_200_000,
 	maximumUpdates: 6,
 };
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -42,7 +42,7 @@
 	/**
 	When anything was last heard from any other node.
 	*/
-	lastHeard(): number | undefined;
+	lastReceivedAt(): number | undefined;
 };
 
 type Probe = {
@@ -209,14 +209,14 @@
 			return [];
 		}
 
-		if (!pending.isIndirect && waited >= parameters.acknowledgeTimeout) {
+		if (!pending.isIndirect && waited >= parameters.acknowledgeTimeoutMs) {
 			probes.set(pending.target, {...pending, isIndirect: true});
 			return askOthers(pending);
 		}
 
 		if (
 			waited <
-			2 * parameters.acknowledgeTimeout + parameters.acknowledgeTimeout / 2
+			2 * parameters.acknowledgeTimeoutMs + parameters.acknowledgeTimeoutMs / 2
 		) {
 			return [];
 		}
@@ -229,13 +229,13 @@
 
 	const expireSuspicions = (now: number): readonly MembershipAction[] =>
 		entries
-			.since('suspect', now - parameters.suspicionTimeout)
+			.since('suspect', now - parameters.suspicionTimeoutMs)
 			.flatMap((member) => learn({...member, status: 'dead'}, now));
 
 	const forgetDead = (now: number) => {
 		for (const {id} of entries.since(
 			'dead',
-			now - parameters.forgetDeadAfter,
+			now - parameters.deadRetentionMs,
 		)) {
 			entries.forget(id);
 		}
@@ -255,7 +255,7 @@
 		}
 
 		if (now >= nextProbeAt) {
-			nextProbeAt = now + parameters.probeInterval;
+			nextProbeAt = now + parameters.probeIntervalMs;
 			const target = nextTarget();
 			if (target && !probes.has(target.id)) {
 				actions.push(probe(target, now));
@@ -340,7 +340,7 @@
 		relays.set(sequence, {
 			requester: requester.id,
 			requesterSequence,
-			expiresAt: now + 4 * parameters.acknowledgeTimeout,
+			expiresAt: now + 4 * parameters.acknowledgeTimeoutMs,
 		});
 		return [send(target, 'ping', sequence)];
 	};
@@ -426,6 +426,6 @@
 		members: entries.all,
 		usable,
 		find: entries.find,
-		lastHeard: () => lastHeard,
+		lastReceivedAt: () => lastHeard,
 	};
 };
--- a/src/membership/duty.ts
+++ b/src/membership/zone-role.ts
@@ -8,7 +8,7 @@
 /**
 How many nodes of a zone share each duty; a second one covers the loss of the first.
 */
-export const nodesPerDuty = 2;
+export const nodesPerRole = 2;
 
 /**
  Whether this node holds a duty of its zone, such as watching one platform service.
@@ -16,21 +16,21 @@
  Every node works it out from its own view. While views differ, more nodes than
  intended may hold a duty, which costs calls but never correctness.
  */
-export const hasDuty = (
+export const hasRole = (
 	duty: string,
 	self: Member,
 	members: readonly Member[],
-): boolean => dutyHolders(duty, self, members).some(({id}) => id === self.id);
+): boolean => roleHolders(duty, self, members).some(({id}) => id === self.id);
 
 /**
 The nodes of this node's zone that hold a duty, as far as this node knows, two where no other number
 is given.
 */
-export const dutyHolders = (
+export const roleHolders = (
 	duty: string,
 	self: Member,
 	members: readonly Member[],
-	count = nodesPerDuty,
+	count = nodesPerRole,
 ): readonly Member[] => {
 	const inZone = members.filter(
 		({availabilityZone, status}) =>
@@ -48,7 +48,7 @@
 @param self This node.
 @param usable The other nodes that can be given work; replaced when they change.
 */
-export const createZoneHolders = (
+export const createZoneRoleHolders = (
 	duty: string,
 	self: () => Member,
 	usable: () => readonly Member[],
--- a/src/mesh/index.ts
+++ b/src/mesh/index.ts
@@ -1,3 +1,3 @@
 export * from './mesh.ts';
 export * from './peer-listener.ts';
-export * from './peer-questions.ts';
+export * from './peer-client.ts';
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -19,7 +19,7 @@
 	createPeerMessageCodec,
 	type PeerMessage,
 } from '../peers/peer-message-codec.ts';
-import {createPeerTeller} from '../peers/peer-teller.ts';
+import {createPeerMessageSender} from '../peers/peer-message-sender.ts';
 import {
 	decodeRegistryStamp,
 	encodeRegistryStamp,
@@ -68,7 +68,7 @@
 	/**
 	Takes in what another node knows.
 	*/
-	learn(members: readonly Member[]): void;
+	mergeMembers(members: readonly Member[]): void;
 	/**
 	Tells some nodes at once, because there is news.
 	*/
@@ -87,11 +87,11 @@
 	/**
 	Whether a node has begun to leave so lately that it still takes callers.
 	*/
-	isLeavingLately(member: Member): boolean;
+	isRecentlyLeaving(member: Member): boolean;
 	/**
 	States the load of a zone's services, if this node is the one of its zone to do so.
 	*/
-	stateLoad(
+	publishLoad(
 		services: Readonly<Record<string, ZoneServiceSummary>>,
 		now: number,
 	): void;
@@ -106,8 +106,8 @@
 	/**
 	Tells nodes something; what is lost on the way is not sent again.
 	*/
-	tell(members: readonly Member[], message: PeerMessage): void;
-	lastHeard(): number | undefined;
+	send(members: readonly Member[], message: PeerMessage): void;
+	lastReceivedAt(): number | undefined;
 };
 
 /**
@@ -115,12 +115,12 @@
 may name a dead node for some seconds only.
 */
 export const meshParameters: MembershipParameters = {
-	probeInterval: 400,
-	acknowledgeTimeout: 300,
-	suspicionTimeout: 1500,
+	probeIntervalMs: 400,
+	acknowledgeTimeoutMs: 300,
+	suspicionTimeoutMs: 1500,
 	indirectProbes: 2,
 	crossZoneEvery: 3,
-	forgetDeadAfter: 7_200_000,
+	deadRetentionMs: 7_200_000,
 	maximumUpdates: 6,
 };
 
@@ -133,7 +133,7 @@
 How long a node that leaves is named to callers where there is no other in its region, in milliseconds:
 it takes them for a second longer.
 */
-export const leavingNamedMs = 3300;
+export const leavingAdvertisedMs = 3300;
 
 /**
 A node that started so lately is told of nodes that left long ago, and cannot tell them from those
@@ -205,7 +205,7 @@
 				options.onRegistryStamp(decodeRegistryStamp(stamp), from);
 			},
 			onChanged: noteLeaving,
-			onOther(datagram) {
+			onOtherDatagram(datagram) {
 				const message = messageCodec.decode(datagram);
 				if (message) {
 					options.onMessage(message);
@@ -244,7 +244,7 @@
 		tick(now) {
 			controller.tick?.(now);
 		},
-		learn(members) {
+		mergeMembers(members) {
 			controller.handle({kind: 'state', members});
 		},
 		announce() {
@@ -257,11 +257,11 @@
 		self: membership.self,
 		others: membership.members,
 		usable,
-		isLeavingLately: ({id, status}) =>
+		isRecentlyLeaving: ({id, status}) =>
 			status === 'leaving' &&
-			clock() - (leavingSince.get(id) ?? -Infinity) < leavingNamedMs,
+			clock() - (leavingSince.get(id) ?? -Infinity) < leavingAdvertisedMs,
 		usableIn: (region) => usableByRegion().get(region) ?? [],
-		stateLoad(services, now) {
+		publishLoad(services, now) {
 			if (!isSpeaker()) {
 				return;
 			}
@@ -278,7 +278,7 @@
 				.values('zone-summary', now)
 				.find(({value}) => value.availabilityZone === availabilityZone)?.value
 				.services[service],
-		tell: createPeerTeller(messageCodec, controller.send),
-		lastHeard: membership.lastHeard,
+		send: createPeerMessageSender(messageCodec, controller.send),
+		lastReceivedAt: membership.lastReceivedAt,
 	};
 };
--- a/src/mesh/peer-questions.ts
+++ b/src/mesh/peer-client.ts
@@ -2,20 +2,20 @@
 import {Agent, request} from 'undici';
 import type {Member} from '../membership/index.ts';
 import {
-	relayWaitMs,
+	relayLongPollMs,
 	type RegistryAnswer,
 	type RegistryPosition,
 	type RelayedAnswer,
 } from '../registry/index.ts';
-import type {FeedAnswer, FeedQuestion} from '../prompts/index.ts';
-import {feedWaitMs} from '../prompts/prompt-feed.ts';
+import type {FeedAnswer, FeedQuery} from '../prompts/index.ts';
+import {feedLongPollMs} from '../prompts/prompt-feed.ts';
 import type {Address} from '../shared/index.ts';
 import {knownViewHeader, peerPaths} from './peer-listener.ts';
 
 /**
 Questions to other nodes.
 */
-export type PeerQuestions = {
+export type PeerClient = {
 	/**
 	The members that a node knows; none where its view is the one that is known already, undefined
 	where it does not answer.
@@ -41,7 +41,7 @@
 	*/
 	promptsAfter(
 		peer: Address,
-		question: FeedQuestion,
+		question: FeedQuery,
 	): Promise<FeedAnswer | undefined>;
 	close(): Promise<void>;
 };
@@ -49,7 +49,7 @@
 /**
 How long another node may take to answer, in milliseconds: some round trips between regions.
 */
-export const questionTimeoutMs = 700;
+export const peerCallTimeoutMs = 700;
 
 /**
 How much longer than it may be held a question to a relay of the zone takes at most, in
@@ -60,16 +60,16 @@
 /**
 Builds the questions of one node.
 */
-export const createPeerQuestions = (): PeerQuestions => {
+export const createPeerClient = (): PeerClient => {
 	const dispatcher = new Agent({
-		connect: {timeout: questionTimeoutMs},
+		connect: {timeout: peerCallTimeoutMs},
 		connections: 4,
 	});
 
 	const ask = async (
 		peer: Address,
 		path: string,
-		timeoutMs = questionTimeoutMs,
+		timeoutMs = peerCallTimeoutMs,
 		headers: Readonly<Record<string, string>> = {},
 	): Promise<unknown> => {
 		const {statusCode, body} = await request(`http://${peer}${path}`, {
@@ -88,7 +88,7 @@
 	return {
 		async members(peer, knownView) {
 			try {
-				return (await ask(peer, peerPaths.members, questionTimeoutMs, {
+				return (await ask(peer, peerPaths.members, peerCallTimeoutMs, {
 					[knownViewHeader]: knownView,
 				})) as readonly Member[];
 			} catch {
@@ -110,7 +110,7 @@
 				return (await ask(
 					peer,
 					`${peerPaths.relay}?${queryOf(after)}`,
-					relayWaitMs + relayMarginMs,
+					relayLongPollMs + relayMarginMs,
 				)) as RelayedAnswer;
 			} catch {
 				return undefined;
@@ -121,7 +121,7 @@
 				return (await ask(
 					peer,
 					`${peerPaths.prompts}?scope=${scope}&epoch=${epoch}&after=${after}`,
-					feedWaitMs + questionTimeoutMs,
+					feedLongPollMs + peerCallTimeoutMs,
 				)) as FeedAnswer;
 			} catch {
 				return undefined;
--- a/src/mesh/peer-listener.ts
+++ b/src/mesh/peer-listener.ts
@@ -12,7 +12,7 @@
 	RegistryCursor,
 	RelayedAnswer,
 } from '../registry/index.ts';
-import type {FeedAnswer, FeedQuestion} from '../prompts/index.ts';
+import type {FeedAnswer, FeedQuery} from '../prompts/index.ts';
 import {closeServer, splitAddress, type Address} from '../shared/index.ts';
 
 /**
@@ -54,7 +54,7 @@
 	Like `registryAfter`, but held while there is nothing.
 	*/
 	readonly relayedAfter: (after: RegistryCursor) => Promise<RelayedAnswer>;
-	readonly promptsAfter: (question: FeedQuestion) => Promise<FeedAnswer>;
+	readonly promptsAfter: (question: FeedQuery) => Promise<FeedAnswer>;
 	/**
 	Takes any other request: those that nodes forward.
 	*/
@@ -162,7 +162,7 @@
 	};
 };
 
-const feedQuestionOf = (target: string): FeedQuestion => {
+const feedQuestionOf = (target: string): FeedQuery => {
 	const query = queryOf(target);
 	return {
 		scope: query.get('scope') === 'zone' ? 'zone' : 'all',
--- a/src/node/configuration-controller.ts
+++ b/src/node/configuration-controller.ts
@@ -5,7 +5,7 @@
 	ParsedConfiguration,
 } from '../configuration/index.ts';
 import type {Controller} from '../controllers/index.ts';
-import {hasDuty} from '../membership/index.ts';
+import {hasRole} from '../membership/index.ts';
 import type {Address} from '../shared/index.ts';
 import type {NodeContext} from './node-context.ts';
 
@@ -133,7 +133,7 @@
 			const isDue = !isWatching && !isStopped && now >= nextWatchAt;
 			if (
 				isDue &&
-				hasDuty('configuration', membership.self(), membership.members())
+				hasRole('configuration', membership.self(), membership.members())
 			) {
 				void watch();
 			}
--- a/src/node/create-node.ts
+++ b/src/node/create-node.ts
@@ -28,10 +28,10 @@
 	const entryVms = () =>
 		listEntryVms(membership.self(), membership.members(), core.random);
 
-	const caughtUp = async (): Promise<void> => {
+	const waitUntilUpToDate = async (): Promise<void> => {
 		controllers.host.checkPause();
 		if (controllers.recovery.isRecovering()) {
-			await controllers.recovery.recovered();
+			await controllers.recovery.waitUntilRecovered();
 		}
 	};
 
@@ -51,7 +51,7 @@
 			);
 		}
 
-		await caughtUp();
+		await waitUntilUpToDate();
 		return undefined;
 	};
 
@@ -61,15 +61,20 @@
 	const backendLimits = createNodeLimits(core, (to, datagram) => {
 		controllers.membership.send(to, datagram);
 	});
-	const {statements, standings} = createNodeStatements(
+	const {statements, announcements} = createNodeStatements(
 		core,
 		backendLimits,
 		(engine, incarnation) => {
 			controllers.fleet.leaving(engine, incarnation);
 		},
 	);
-	const shared = {quarantine, backendLimits, statements, standings};
-	const gate = {readiness, caughtUp, isUpToDate};
+	const shared = {
+		quarantine,
+		backendLimits,
+		statements,
+		announcements,
+	};
+	const gate = {readiness, waitUntilUpToDate, isUpToDate};
 	const path = createRequestPath(core, gate, shared);
 	const {chain, executor, inFlight, permits, report} = path;
 	const controllers = createNodeControllers(core, path, shared);
@@ -94,7 +99,7 @@
 				answers: {
 					state: (availabilityZone) => ({
 						members: [membership.self(), ...membership.members()],
-						digests: digests.everything(availabilityZone, clock()),
+						digests: digests.allEntries(availabilityZone, clock()),
 						stamp: configuration.stamp(),
 					}),
 					configuration: () => configuration.current()?.text,
@@ -110,7 +115,7 @@
 				{inFlight: inFlight.count()},
 				'leaving: new requests are refused',
 			);
-			return inFlight.idle(settings.drainTimeoutMs);
+			return inFlight.waitUntilIdle(settings.drainTimeoutMs);
 		},
 		isLeaving: () => isLeaving,
 		async stop() {
--- a/src/node/fleet-controller.ts
+++ b/src/node/fleet-controller.ts
@@ -11,7 +11,7 @@
 import type {EngineClient} from '../engines/index.ts';
 import type {ClientLimits, PeerDemand} from '../limits/index.ts';
 import type {RequestStatements} from '../requests/index.ts';
-import {hasDuty, nodesPerDuty} from '../membership/index.ts';
+import {hasRole, nodesPerRole} from '../membership/index.ts';
 import {assertNever, rendezvousOrder} from '../shared/index.ts';
 import type {NodeContext} from './node-context.ts';
 
@@ -23,7 +23,7 @@
 	/**
 	Takes in soft state that peers sent.
 	*/
-	heard(values: readonly DatedValue[]): void;
+	applyDigests(values: readonly DatedValue[]): void;
 	/**
 	Takes in an announced shutdown from any source and passes it on.
 	*/
@@ -40,11 +40,11 @@
 	/**
 	Milliseconds between two reads of a server's load by one node, where the server bounds what it is asked.
 	*/
-	readonly readingPauseMs: (server: BackendServer) => number;
+	readonly enginePollIntervalMs: (server: BackendServer) => number;
 	/**
 	Takes in what servers state in the heads of their load reports.
 	*/
-	readonly statements: Pick<RequestStatements, 'loadReported'>;
+	readonly statements: Pick<RequestStatements, 'recordLoadReport'>;
 	/**
 	Called when load may have fallen.
 	*/
@@ -54,27 +54,27 @@
 /**
 Milliseconds between two reads of one server's load.
 */
-export const loadInterval = 500;
+export const loadIntervalMs = 500;
 
 /**
 Milliseconds that each server read adds to that; bounds the reads of a node with many servers.
 */
-export const readSpacing = 270;
+export const readSpacingMs = 270;
 
 /**
 Milliseconds between two statements of own requests in flight and of demand.
 */
-export const statementInterval = 500;
+export const statementIntervalMs = 500;
 
 /**
 Milliseconds between two summaries of a zone.
 */
-export const summaryInterval = 1000;
+export const summaryIntervalMs = 1000;
 
 /**
 Name under which the demand of a whole zone is stated.
 */
-export const zoneHolder = (availabilityZone: string): string =>
+export const zoneDemandHolder = (availabilityZone: string): string =>
 	`zone:${availabilityZone}`;
 
 /**
@@ -119,7 +119,7 @@
 					availabilityZone === self.availabilityZone && status === 'alive',
 			);
 		return rendezvousOrder(`load/${server.id}`, [self, ...zone], ({id}) => id)
-			.slice(0, nodesPerDuty)
+			.slice(0, nodesPerRole)
 			.some(({id}) => id === self.id);
 	};
 
@@ -127,7 +127,7 @@
 		polling.add(server.id);
 		const sentAt = clock();
 		const status = await engines.readStatus(server.address, (head) => {
-			options.statements.loadReported(server, head, sentAt);
+			options.statements.recordLoadReport(server, head, sentAt);
 		});
 		polling.delete(server.id);
 		if (status.isErr) {
@@ -157,12 +157,12 @@
 
 	const readLoads = (now: number) => {
 		const watched = local.filter((server) => isWatched(server));
-		nextLoadAt = now + Math.max(loadInterval, watched.length * readSpacing);
+		nextLoadAt = now + Math.max(loadIntervalMs, watched.length * readSpacingMs);
 		for (const server of watched) {
-			const pauseMs = options.readingPauseMs(server) * nodesPerDuty;
+			const pauseMs = options.enginePollIntervalMs(server) * nodesPerRole;
 			if (
 				polling.has(server.id) ||
-				fleet.restLeftMs(server.id, now) > 0 ||
+				fleet.backoffRemainingMs(server.id, now) > 0 ||
 				now - (readAt.get(server.id) ?? -Infinity) < pauseMs
 			) {
 				continue;
@@ -234,7 +234,7 @@
 
 	const summarize = (now: number) => {
 		const {availabilityZone} = membership.self();
-		if (!hasDuty('zone-summary', membership.self(), membership.members())) {
+		if (!hasRole('zone-summary', membership.self(), membership.members())) {
 			return;
 		}
 
@@ -253,7 +253,7 @@
 		digests.put(
 			{
 				kind: 'demand',
-				holder: zoneHolder(availabilityZone),
+				holder: zoneDemandHolder(availabilityZone),
 				availabilityZone,
 				rates,
 			},
@@ -335,7 +335,7 @@
 			// Words heard before the servers were known must hold as well.
 			heardAgain();
 		},
-		heard(values) {
+		applyDigests(values) {
 			for (const value of values) {
 				take(value);
 			}
@@ -347,7 +347,7 @@
 			}
 
 			if (now >= nextStatementAt) {
-				nextStatementAt = now + statementInterval;
+				nextStatementAt = now + statementIntervalMs;
 				state(now);
 			}
 
@@ -355,7 +355,7 @@
 				return;
 			}
 
-			nextSummaryAt = now + summaryInterval;
+			nextSummaryAt = now + summaryIntervalMs;
 			summarize(now);
 		},
 		woken(now) {
--- a/src/node/forward-handler.ts
+++ b/src/node/forward-handler.ts
@@ -14,7 +14,7 @@
 } from '../peers/index.ts';
 import {
 	createSeenAttempts,
-	readForwarded,
+	parseForwardedRequest,
 	type ForwardedAttempt,
 	type GatewayRequest,
 	type InFlight,
@@ -44,7 +44,7 @@
 */
 export const createForwardHandler = (options: ForwardHandlerOptions) => {
 	const {context, inFlight} = options;
-	const isFirst = createSeenAttempts();
+	const isFirstDelivery = createSeenAttempts();
 
 	const serve = async (
 		request: GatewayRequest,
@@ -97,12 +97,12 @@
 		const obstacle = isRedemption ? undefined : await options.readiness();
 		const request = obstacle
 			? undefined
-			: readForwarded(envelope, body, {
+			: parseForwardedRequest(envelope, body, {
 					configuration: context.configuration.current()?.configuration,
-					ownRegion: context.ownRegion(),
+					localRegion: context.localRegion(),
 					now: context.clock(),
 					signal: abort.signal,
-					isFirst,
+					isFirstDelivery,
 				});
 		if (!request || request.isErr) {
 			const error =
@@ -156,12 +156,12 @@
 async function* observed(
 	attempt: ForwardedAttempt,
 ): AsyncGenerator<Buffer, void, void> {
-	let isFirst = true;
+	let isFirstDelivery = true;
 	let end: 'answered' | 'failed' | 'canceled' = 'canceled';
 	try {
 		for await (const chunk of attempt.upstream.body) {
-			if (isFirst) {
-				isFirst = false;
+			if (isFirstDelivery) {
+				isFirstDelivery = false;
 				attempt.observeFirstByte();
 			}
 
--- a/src/node/membership-controller.ts
+++ b/src/node/membership-controller.ts
@@ -52,13 +52,13 @@
 	/**
 	Told of a datagram that is no heartbeat.
 	*/
-	readonly onOther?: (datagram: Buffer) => void;
+	readonly onOtherDatagram?: (datagram: Buffer) => void;
 };
 
 /**
 Bytes of soft state in one heartbeat; keeps a datagram below the usual size of a packet.
 */
-export const digestBudget = 700;
+export const digestBudgetBytes = 700;
 
 /**
 Builds the controller.
@@ -78,7 +78,7 @@
 				const {to, message} = action;
 				const selected = digests.select(
 					to.availabilityZone,
-					digestBudget,
+					digestBudgetBytes,
 					membership.members().length,
 					clock(),
 				);
@@ -107,7 +107,7 @@
 	const receive = (datagram: Buffer) => {
 		const heartbeat = codec.decode(datagram);
 		if (!heartbeat) {
-			listeners.onOther?.(datagram);
+			listeners.onOtherDatagram?.(datagram);
 			logger.debug({bytes: datagram.length}, 'datagram that is no heartbeat');
 			return;
 		}
--- a/src/node/node-context.ts
+++ b/src/node/node-context.ts
@@ -26,5 +26,5 @@
 	/**
 	The region of this node, or an empty text before the first configuration.
 	*/
-	readonly ownRegion: () => string;
+	readonly localRegion: () => string;
 };
--- a/src/node/node-controllers.ts
+++ b/src/node/node-controllers.ts
@@ -18,7 +18,7 @@
 	createRecoveryController,
 	type RecoveryController,
 } from './recovery-controller.ts';
-import type {RequestPath, SharedParts} from './request-path.ts';
+import type {RequestPath, RequestPathDependencies} from './request-path.ts';
 import {createVmListController} from './vm-list-controller.ts';
 
 /**
@@ -40,7 +40,12 @@
 		RequestPath,
 		'limits' | 'capacity' | 'inFlight' | 'metrics' | 'backendLimits'
 	>,
-	{quarantine, backendLimits, statements, standings}: SharedParts,
+	{
+		quarantine,
+		backendLimits,
+		statements,
+		announcements,
+	}: RequestPathDependencies,
 ): NodeControllers => {
 	const {context} = core;
 	const {clock, configuration, digests, fleet} = context;
@@ -52,7 +57,7 @@
 		engines: core.engines,
 		limits: path.limits,
 		statements,
-		readingPauseMs: path.backendLimits.readingPauseMs,
+		enginePollIntervalMs: path.backendLimits.enginePollIntervalMs,
 		onCapacity: capacity.notify,
 	});
 	const membership = createMembershipController(
@@ -60,7 +65,7 @@
 		core.codec,
 		core.translate,
 		{
-			onDigests: fleetController.heard,
+			onDigests: fleetController.applyDigests,
 			onStamp(stamp, from) {
 				configurationController.heard(stamp, from);
 			},
@@ -69,18 +74,18 @@
 					fleet.handle({kind: 'peer-gone', node: member.id}, clock());
 				}
 			},
-			onOther(datagram) {
+			onOtherDatagram(datagram) {
 				const message = messages.decode(datagram);
 				switch (message?.kind) {
 					case 'crashes':
 					case 'quarantine':
 					case 'served': {
-						quarantine.hear(message, clock());
+						quarantine.receive(message, clock());
 						break;
 					}
 
 					case 'backend-limits': {
-						backendLimits.hear(message, clock());
+						backendLimits.receive(message, clock());
 						break;
 					}
 
@@ -109,7 +114,7 @@
 	});
 	const recovery = createRecoveryController({
 		context,
-		async askPlatform() {
+		async queryPlatform() {
 			const answers = await Promise.all([
 				configurationController.askPlatform(),
 				vmListController.ask(),
@@ -120,7 +125,7 @@
 			membership.handle({kind: 'state', members});
 		},
 		onDigests(entries) {
-			fleetController.heard(digests.apply(entries, clock()));
+			fleetController.applyDigests(digests.apply(entries, clock()));
 		},
 		async onStamp(stamp, from) {
 			if (!configuration.isAhead(stamp)) {
@@ -137,7 +142,7 @@
 	let wereLimits = false;
 	const keepLimits = (now: number) => {
 		backendLimits.tick(now);
-		const areThere = backendLimits.areThere();
+		const areThere = backendLimits.hasAny();
 		if (areThere || wereLimits) {
 			fleet.handle({kind: 'limited', backendServers: limitedNow()}, now);
 			// A limited server has room again as time passes, whatever ends there.
@@ -159,14 +164,14 @@
 		name: 'waiting',
 		tick(now: number) {
 			quarantine.tick(now);
-			standings.tick(now);
+			announcements.tick(now);
 			keepLimits(now);
 			capacity.expire(now);
 			metrics.gauge('in_flight', inFlight.count());
 			metrics.gauge('requests_quarantined', quarantine.quarantined(now));
 			metrics.gauge('servers_limited', backendLimits.limitedServers());
-			metrics.gauge('servers_leaving', standings.leavingServers());
-			metrics.gauge('servers_resting', standings.restingServers(now));
+			metrics.gauge('servers_leaving', announcements.leavingServers());
+			metrics.gauge('servers_resting', announcements.serversInBackoff(now));
 		},
 	};
 	for (const controller of [
--- a/src/node/node-core.ts
+++ b/src/node/node-core.ts
@@ -76,7 +76,7 @@
 		}),
 		platform: createPlatformClient(settings.platformAddress),
 		logger,
-		ownRegion() {
+		localRegion() {
 			const document = configuration.current()?.configuration;
 			return (
 				(document && regionOfZone(document, settings.availabilityZone)) ?? ''
--- a/src/node/node-limits.ts
+++ b/src/node/node-limits.ts
@@ -5,7 +5,7 @@
 	type BackendLimits,
 } from '../backend-limits/index.ts';
 import {createPeerMessageCodec} from '../peers/peer-message-codec.ts';
-import {createPeerTeller} from '../peers/peer-teller.ts';
+import {createPeerMessageSender} from '../peers/peer-message-sender.ts';
 import type {Address} from '../shared/index.ts';
 import type {NodeCore} from './node-core.ts';
 
@@ -27,9 +27,9 @@
 	const startedAt = clock();
 	const {peers, reachableFraction} = createSenderNodes({
 		others: membership.members,
-		isNear: ({availabilityZone}) =>
+		sharesServers: ({availabilityZone}) =>
 			availabilityZone === settings.availabilityZone,
-		lastHeard: membership.lastHeard,
+		lastReceivedAt: membership.lastReceivedAt,
 		clock,
 	});
 
@@ -37,10 +37,10 @@
 		self: settings.nodeId,
 		peers,
 		reachableFraction,
-		mayShare: () =>
+		canUseLimitedServers: () =>
 			clock() - startedAt > limitSettlingMs &&
 			membership.self().status !== 'leaving',
-		tell: createPeerTeller(createPeerMessageCodec(sealer), send),
+		send: createPeerMessageSender(createPeerMessageCodec(sealer), send),
 		without: new Set(),
 		logger,
 	});
--- a/src/node/node-quarantine.ts
+++ b/src/node/node-quarantine.ts
@@ -1,9 +1,9 @@
 import type {Buffer} from 'node:buffer';
-import type {EngineLife} from '../engines/index.ts';
+import type {EngineProcessState} from '../engines/index.ts';
 import {createPeerMessageCodec} from '../peers/peer-message-codec.ts';
-import {createPeerTeller} from '../peers/peer-teller.ts';
+import {createPeerMessageSender} from '../peers/peer-message-sender.ts';
 import {createQuarantine, type Quarantine} from '../quarantine/index.ts';
-import {engineLife} from '../requests/index.ts';
+import {engineIncarnationId} from '../requests/index.ts';
 import type {Address} from '../shared/index.ts';
 import type {NodeCore} from './node-core.ts';
 
@@ -20,18 +20,20 @@
 		const servers = configuration.current()?.configuration.backendServers;
 		const server = servers?.find((each) => each.id === id);
 		// The refusal that asked for a rest has shown that the engine lives.
-		const canAsk = context.fleet.restLeftMs(id, clock()) === 0;
+		const canAsk = context.fleet.backoffRemainingMs(id, clock()) === 0;
 		const now =
-			server && canAsk ? await engines.readLife(server.address) : undefined;
+			server && canAsk
+				? await engines.readProcessState(server.address)
+				: undefined;
 		const verdict = now ? judgeLife(id, life, now) : 'unknown';
 		switch (verdict) {
 			case 'ended': {
-				quarantine.refused(life, clock());
+				quarantine.connectionRefused(life, clock());
 				break;
 			}
 
 			case 'same': {
-				quarantine.acquitted(life);
+				quarantine.crashRuledOut(life);
 				break;
 			}
 
@@ -44,8 +46,8 @@
 	const quarantine = createQuarantine({
 		self: settings.nodeId,
 		usable: membership.usable,
-		tell: createPeerTeller(createPeerMessageCodec(sealer), send),
-		ask(server, life) {
+		send: createPeerMessageSender(createPeerMessageCodec(sealer), send),
+		probe(server, life) {
 			void ask(server, life);
 		},
 		// Its runs end by themselves; none is sent again.
@@ -62,12 +64,13 @@
 const judgeLife = (
 	id: string,
 	life: string,
-	now: EngineLife,
+	now: EngineProcessState,
 ): 'same' | 'ended' | 'unknown' => {
 	switch (now.kind) {
 		case 'running': {
 			const isSame =
-				life === engineLife(id, now.incarnation) || life === engineLife(id);
+				life === engineIncarnationId(id, now.incarnation) ||
+				life === engineIncarnationId(id);
 			return isSame ? 'same' : 'ended';
 		}
 
--- a/src/node/node-statements.ts
+++ b/src/node/node-statements.ts
@@ -3,13 +3,13 @@
 import {unnamedIncarnation} from '../fleet/index.ts';
 import {
 	createRequestStatements,
-	engineLife,
+	engineIncarnationId,
 	type RequestStatements,
 } from '../requests/index.ts';
 import {
-	createServerStandings,
-	createStatementIntake,
-	type ServerStandings,
+	createServerAnnouncements,
+	createStatementHandler,
+	type ServerAnnouncements,
 	type StatementOrigin,
 } from '../server-statements/index.ts';
 import type {NodeCore} from './node-core.ts';
@@ -19,7 +19,7 @@
 */
 export type NodeStatements = {
 	readonly statements: RequestStatements;
-	readonly standings: ServerStandings;
+	readonly announcements: ServerAnnouncements;
 };
 
 /**
@@ -27,32 +27,34 @@
 */
 export const createNodeStatements = (
 	{context, random}: NodeCore,
-	backendLimits: Pick<BackendLimits, 'stated'>,
+	backendLimits: Pick<BackendLimits, 'recordStatement'>,
 	onLeaving: (server: string, incarnation: string) => void,
 ): NodeStatements => {
 	const {clock, fleet, logger} = context;
-	const standings = createServerStandings({
+	const announcements = createServerAnnouncements({
 		logger,
-		draw: random.fraction,
-		onLeaving({server, life}) {
-			onLeaving(server, incarnationOf(server, life));
+		randomFraction: random.fraction,
+		onLeaving({server, incarnationId}) {
+			onLeaving(server, incarnationOf(server, incarnationId));
 		},
 	});
 
 	const rest = (origin: StatementOrigin, restMs: number) => {
-		const {server, life} = origin;
-		standings.asksForRest(origin, restMs);
+		const {server, incarnationId} = origin;
+		announcements.recordBackoff(origin, restMs);
 		// The answer may be from a process that has ended since.
-		if (engineLife(server, fleet.incarnationOf(server)) !== life) {
+		if (
+			engineIncarnationId(server, fleet.incarnationOf(server)) !== incarnationId
+		) {
 			return;
 		}
 
 		const now = clock();
-		const until = now + standings.rests.leftMs(life, now);
+		const until = now + announcements.backoffs.remainingMs(incarnationId, now);
 		fleet.handle({kind: 'resting', backendServer: server, until}, now);
 	};
 
-	const intake = createStatementIntake({
+	const intake = createStatementHandler({
 		headers: {
 			leaving: leavingHeader,
 			limit: limitHeader,
@@ -60,9 +62,9 @@
 			load: undefined,
 			coldMs: undefined,
 		},
-		onLeaving: standings.leaves,
-		onRest: rest,
-		onLimit: backendLimits.stated,
+		onLeaving: announcements.recordShutdown,
+		onBackoff: rest,
+		onLimit: backendLimits.recordStatement,
 		onFault(server, {kind, reason}) {
 			logger.debug(
 				{server, kind, reason},
@@ -73,11 +75,11 @@
 
 	return {
 		statements: createRequestStatements(intake, fleet, clock),
-		standings,
+		announcements,
 	};
 };
 
-const incarnationOf = (server: string, life: string): string => {
-	const incarnation = life.slice(server.length + 1);
+const incarnationOf = (server: string, incarnationId: string): string => {
+	const incarnation = incarnationId.slice(server.length + 1);
 	return incarnation === '' ? unnamedIncarnation : incarnation;
 };
--- a/src/node/permit-holder-call.ts
+++ b/src/node/permit-issuer-call.ts
@@ -8,7 +8,7 @@
 	forwardCall,
 	type Answer,
 	type GatewayRequest,
-	type PermitHolder,
+	type PermitIssuer,
 	type StreamEnd,
 } from '../requests/index.ts';
 import type {NodeContext} from './node-context.ts';
@@ -19,9 +19,9 @@
  Only that node may run the request. Where it cannot be asked, the outcome is unknown,
  and it stays so: running the request here could run it twice.
  */
-export const createPermitHolderCall =
+export const createPermitIssuerCall =
 	(context: NodeContext) =>
-	async (request: GatewayRequest, holder: PermitHolder): Promise<Answer> => {
+	async (request: GatewayRequest, holder: PermitIssuer): Promise<Answer> => {
 		const member = context.membership.find(holder.node);
 		if (!member || member.status === 'dead') {
 			return refused(unreachable(holder.node));
--- a/src/node/recovery-controller.ts
+++ b/src/node/recovery-controller.ts
@@ -13,7 +13,7 @@
 	/**
 	Resolves once the node is up to date, or once it has waited as long as it may.
 	*/
-	recovered(): Promise<void>;
+	waitUntilRecovered(): Promise<void>;
 	isRecovering(): boolean;
 };
 
@@ -25,7 +25,7 @@
 	/**
 	Asks the platform for configuration and VM list.
 	*/
-	readonly askPlatform: () => Promise<PlatformAnswer>;
+	readonly queryPlatform: () => Promise<PlatformAnswer>;
 	readonly onMembers: (members: readonly Member[]) => void;
 	readonly onDigests: (digests: readonly DigestEntry[]) => void;
 	/**
@@ -37,12 +37,12 @@
 /**
 After a pause requests wait at most this many milliseconds for word from outside.
 */
-export const wakeBoundMs = 1500;
+export const catchUpTimeoutMs = 1500;
 
 /**
 Peers asked at once, at the most.
 */
-export const peersAsked = 3;
+export const maximumPeersQueried = 3;
 
 const addressesOf = (members: readonly Member[]): readonly Address[] =>
 	members.map(({peerAddress}) => peerAddress);
@@ -86,12 +86,14 @@
 		all.delete(settings.peerAddress);
 		return [...all].slice(
 			0,
-			near.length > 0 ? Math.min(near.length, peersAsked) : peersAsked,
+			near.length > 0
+				? Math.min(near.length, maximumPeersQueried)
+				: maximumPeersQueried,
 		);
 	};
 
 	const askPlatform = async () => {
-		const answer = await options.askPlatform();
+		const answer = await options.queryPlatform();
 		if (answer === 'silent') {
 			throw new Error('the platform did not answer');
 		}
@@ -137,14 +139,14 @@
 
 	return {
 		name: 'recovery',
-		recovered: async () => recovery,
+		waitUntilRecovered: async () => recovery,
 		isRecovering: () => isRecovering,
 		async start() {
 			run(join, Math.max(1, settings.joinTimeoutMs));
 			await recovery;
 		},
 		woken() {
-			run(catchUp, wakeBoundMs);
+			run(catchUp, catchUpTimeoutMs);
 		},
 	};
 };
--- a/src/node/request-path.ts
+++ b/src/node/request-path.ts
@@ -10,7 +10,7 @@
 } from '../reporting/index.ts';
 import {
 	createAttempts,
-	createCapacityWait,
+	createCapacityQueue,
 	createInFlight,
 	createPermits,
 	createRequestChain,
@@ -19,10 +19,10 @@
 	createRequestQuarantine,
 	createStreamRelay,
 	createTargetChooser,
-	type CapacityWait,
-	type HeardSummary,
+	type CapacityQueue,
+	type ReceivedZoneSummary,
 	type InFlight,
-	type KeptAnswer,
+	type ReplayableAnswer,
 	type Permits,
 	type RequestChain,
 	type RequestExecutor,
@@ -30,12 +30,12 @@
 	type RequestStatements,
 	type TargetChooser,
 } from '../requests/index.ts';
-import type {ServerStandings} from '../server-statements/index.ts';
+import type {ServerAnnouncements} from '../server-statements/index.ts';
 import type {Quarantine} from '../quarantine/index.ts';
 import {createRetryBudget} from '../retries/index.ts';
 import type {NodeContext} from './node-context.ts';
 import type {NodeCore} from './node-core.ts';
-import {createPermitHolderCall} from './permit-holder-call.ts';
+import {createPermitIssuerCall} from './permit-issuer-call.ts';
 
 /**
 What requests pass on their way through a node.
@@ -45,9 +45,9 @@
 	readonly executor: RequestExecutor;
 	readonly chooser: TargetChooser;
 	readonly limits: ClientLimits;
-	readonly capacity: CapacityWait;
+	readonly capacity: CapacityQueue;
 	readonly inFlight: InFlight;
-	readonly permits: Permits<KeptAnswer>;
+	readonly permits: Permits<ReplayableAnswer>;
 	readonly metrics: Metrics;
 	readonly backendLimits: RequestLimits;
 	report(): NodeReport;
@@ -64,7 +64,7 @@
 	/**
 	Resolves once the node knows again what happened while it stood still.
 	*/
-	caughtUp(): Promise<void>;
+	waitUntilUpToDate(): Promise<void>;
 	/**
 	Whether it knows that now; false after a pause until it has caught up.
 	*/
@@ -74,11 +74,11 @@
 /**
 What the path of requests shares with the rest of the node.
 */
-export type SharedParts = {
+export type RequestPathDependencies = {
 	readonly quarantine: Quarantine;
 	readonly backendLimits: BackendLimits;
 	readonly statements: RequestStatements;
-	readonly standings: ServerStandings;
+	readonly announcements: ServerAnnouncements;
 };
 
 const epochBytes = 8;
@@ -90,7 +90,7 @@
 export const createRequestPath = (
 	core: NodeCore,
 	gate: RequestGate,
-	{quarantine, backendLimits, statements}: SharedParts,
+	{quarantine, backendLimits, statements}: RequestPathDependencies,
 ): RequestPath => {
 	const {context} = core;
 	const {settings, clock, configuration} = context;
@@ -99,11 +99,11 @@
 	const limits = createClientLimits(
 		() => 1 + context.membership.usable().length,
 	);
-	const capacity = createCapacityWait({clock, ...settings});
+	const capacity = createCapacityQueue({clock, ...settings});
 	const recorder = createRecorder(settings.nodeId);
 	const metrics = createMetrics(settings.statsdAddress, settings.nodeId);
 	const inFlight = createInFlight();
-	const permits = createPermits<KeptAnswer>({
+	const permits = createPermits<ReplayableAnswer>({
 		node: settings.nodeId,
 		epoch,
 		secret: randomBytes(secretBytes).toString('hex'),
@@ -123,12 +123,12 @@
 		clock,
 		wallClock,
 		configuration: configuration.current,
-		ownRegion: context.ownRegion,
+		localRegion: context.localRegion,
 		readiness: gate.readiness,
 		limits,
 		permits,
 		executor,
-		askHolder: createPermitHolderCall(context),
+		askIssuer: createPermitIssuerCall(context),
 		recorder,
 		metrics,
 		inFlight,
@@ -170,8 +170,8 @@
 	});
 
 type ExecutorParts = Pick<RequestPath, 'chooser' | 'capacity'> &
-	Pick<SharedParts, 'quarantine' | 'statements'> & {
-		readonly gate: Pick<RequestGate, 'caughtUp' | 'isUpToDate'>;
+	Pick<RequestPathDependencies, 'quarantine' | 'statements'> & {
+		readonly gate: Pick<RequestGate, 'waitUntilUpToDate' | 'isUpToDate'>;
 		readonly backendLimits: RequestLimits;
 		/**
 		Tells the attempts of this life of the node from those of earlier ones.
@@ -209,7 +209,7 @@
 			return `${settings.nodeId}.${epoch}.${issued.toString(36)}`;
 		},
 		statements,
-		caughtUp: gate.caughtUp,
+		waitUntilUpToDate: gate.waitUntilUpToDate,
 		isUpToDate: gate.isUpToDate,
 		logger,
 	});
@@ -226,7 +226,7 @@
 	availabilityZone: string,
 	service: string,
 	now: number,
-): HeardSummary | undefined => {
+): ReceivedZoneSummary | undefined => {
 	const found = digests
 		.values('zone-summary', now)
 		.find(({value}) => value.availabilityZone === availabilityZone);
--- a/src/node/vm-list-controller.ts
+++ b/src/node/vm-list-controller.ts
@@ -1,6 +1,6 @@
 import type {Controller} from '../controllers/index.ts';
 import {anyIncarnation} from '../fleet/index.ts';
-import {hasDuty, type Member} from '../membership/index.ts';
+import {hasRole, type Member} from '../membership/index.ts';
 import type {ListedVm} from '../platform/index.ts';
 import type {PlatformAnswer} from './configuration-controller.ts';
 import type {NodeContext} from './node-context.ts';
@@ -26,7 +26,7 @@
 /**
 Milliseconds between two reads of the list.
 */
-export const vmListInterval = 1000;
+export const vmListIntervalMs = 1000;
 
 /**
 Builds the controller.
@@ -71,12 +71,12 @@
 			if (
 				isAsking ||
 				now < nextAt ||
-				!hasDuty('vm-list', membership.self(), membership.members())
+				!hasRole('vm-list', membership.self(), membership.members())
 			) {
 				return;
 			}
 
-			nextAt = now + vmListInterval;
+			nextAt = now + vmListIntervalMs;
 			void ask();
 		},
 	};
--- a/src/peers/backend-limit-messages.ts
+++ b/src/peers/backend-limit-messages.ts
@@ -3,11 +3,11 @@
 /**
 The limit of one backend server, as one node tells another.
 */
-export type ToldLimit = {
+export type LimitUpdate = {
 	/**
 	Names the life of the server.
 	*/
-	readonly life: string;
+	readonly incarnationId: string;
 	/**
 	Requests a second that it takes from all nodes; undefined where its limit has ended.
 	*/
@@ -28,7 +28,7 @@
 	Id of the node that tells.
 	*/
 	readonly from: string;
-	readonly limits: readonly ToldLimit[];
+	readonly limits: readonly LimitUpdate[];
 };
 
 type Row = readonly unknown[];
@@ -42,8 +42,8 @@
 export const backendLimitRows = ({
 	limits,
 }: BackendLimitMessage): readonly Row[] =>
-	limits.map(({life, perSecond, earliestAgoMs, latestAgoMs}) => [
-		life,
+	limits.map(({incarnationId, perSecond, earliestAgoMs, latestAgoMs}) => [
+		incarnationId,
 		perSecond ?? ended,
 		Math.round(earliestAgoMs),
 		Math.round(latestAgoMs),
@@ -58,10 +58,12 @@
 ): BackendLimitMessage => ({
 	kind: 'backend-limits',
 	from,
-	limits: rows.map(([life, perSecond, earliestAgoMs, latestAgoMs]) => ({
-		life: checkText(life),
-		perSecond: perSecond === ended ? undefined : checkCount(perSecond),
-		earliestAgoMs: checkCount(earliestAgoMs),
-		latestAgoMs: checkCount(latestAgoMs),
-	})),
+	limits: rows.map(
+		([incarnationId, perSecond, earliestAgoMs, latestAgoMs]) => ({
+			incarnationId: checkText(incarnationId),
+			perSecond: perSecond === ended ? undefined : checkCount(perSecond),
+			earliestAgoMs: checkCount(earliestAgoMs),
+			latestAgoMs: checkCount(latestAgoMs),
+		}),
+	),
 });
--- a/src/peers/leaving-messages.ts
+++ b/src/peers/leaving-messages.ts
@@ -8,7 +8,7 @@
 	/**
 	Names the life of the server.
 	*/
-	readonly life: string;
+	readonly incarnationId: string;
 };
 
 /**
@@ -31,7 +31,7 @@
 export const serverLeavingRows = ({
 	servers,
 }: ServerLeavingMessage): readonly Row[] =>
-	servers.map(({server, life}) => [server, life]);
+	servers.map(({server, incarnationId}) => [server, incarnationId]);
 
 /**
 Reads rows; throws where they are of another form.
@@ -42,8 +42,8 @@
 ): ServerLeavingMessage => ({
 	kind: 'servers-leaving',
 	from,
-	servers: rows.map(([server, life]) => ({
+	servers: rows.map(([server, incarnationId]) => ({
 		server: checkText(server),
-		life: checkText(life),
+		incarnationId: checkText(incarnationId),
 	})),
 });
--- a/src/peers/peer-calls.ts
+++ b/src/peers/peer-calls.ts
@@ -18,7 +18,7 @@
 import type {NodeReport} from '../reporting/index.ts';
 import type {AttemptFailure} from '../retries/index.ts';
 import type {ClearedRegion} from '../routing/index.ts';
-import {dropBody, type Address} from '../shared/index.ts';
+import {discardBody, type Address} from '../shared/index.ts';
 import type {ForwardCall, ForwardEnvelope} from './forward-call.ts';
 import type {PeerRouter, PeerState} from './peer-router.ts';
 import type {Sealer} from './seal.ts';
@@ -189,7 +189,7 @@
 	}
 
 	if (headers[attemptHeader] !== attemptId) {
-		dropBody(body);
+		discardBody(body);
 		return Result.err({
 			outcome: 'unknown',
 			isStated: true,
--- a/src/peers/peer-message-codec.ts
+++ b/src/peers/peer-message-codec.ts
@@ -21,7 +21,7 @@
 import {
 	readUsage,
 	usageMessageKinds,
-	usagePart,
+	usageFraction,
 	usageRows,
 	type UsageMessage,
 } from './usage-messages.ts';
@@ -29,7 +29,7 @@
 /**
 What a node tells the others of its region of one backend server.
 */
-export type ReadingMessage = {
+export type PrefillBacklogMessage = {
 	readonly kind: 'reading';
 	/**
 	One life of the node that tells.
@@ -51,7 +51,7 @@
 */
 export type PeerMessage =
 	| UsageMessage
-	| ReadingMessage
+	| PrefillBacklogMessage
 	| QuarantineMessage
 	| BackendLimitMessage
 	| ServerLeavingMessage;
@@ -172,7 +172,7 @@
 		case 'node':
 		case 'zone':
 		case 'totals': {
-			return usagePart(message);
+			return usageFraction(message);
 		}
 
 		case 'reading':
@@ -222,7 +222,7 @@
 	}
 };
 
-const decodeReading = (from: string, row: Row): ReadingMessage => ({
+const decodeReading = (from: string, row: Row): PrefillBacklogMessage => ({
 	kind: 'reading',
 	from,
 	server: checkText(row[0]),
--- a/src/peers/peer-teller.ts
+++ b/src/peers/peer-message-sender.ts
@@ -6,7 +6,7 @@
 /**
 Tells nodes something; what is lost on the way is not sent again.
 */
-export type PeerTeller = (
+export type PeerMessageSender = (
 	members: readonly Member[],
 	message: PeerMessage,
 ) => void;
@@ -17,11 +17,11 @@
 @param codec What messages are encoded with, once for all nodes that are told.
 @param send Sends one datagram.
 */
-export const createPeerTeller =
+export const createPeerMessageSender =
 	(
 		codec: Pick<PeerMessageCodec, 'encode'>,
 		send: (to: Address, datagram: Buffer) => void,
-	): PeerTeller =>
+	): PeerMessageSender =>
 	(members, message) => {
 		if (members.length === 0) {
 			return;
--- a/src/peers/quarantine-messages.ts
+++ b/src/peers/quarantine-messages.ts
@@ -3,11 +3,11 @@
 /**
 What a node saw of one request at one backend server that crashed.
 */
-export type ToldRun = {
+export type CrashUpdate = {
 	/**
 	Names the life of the server that ended.
 	*/
-	readonly life: string;
+	readonly incarnationId: string;
 	/**
 	Milliseconds since the server ended.
 	*/
@@ -22,7 +22,7 @@
 /**
 A request in quarantine, as one node tells another.
 */
-export type ToldEntry = {
+export type QuarantineUpdate = {
 	readonly fingerprint: string;
 	/**
 	Milliseconds that are left of the quarantine.
@@ -41,12 +41,12 @@
 			Id of the node that tells.
 			*/
 			readonly from: string;
-			readonly runs: readonly ToldRun[];
+			readonly runs: readonly CrashUpdate[];
 	  }
 	| {
 			readonly kind: 'quarantine';
 			readonly from: string;
-			readonly entries: readonly ToldEntry[];
+			readonly entries: readonly QuarantineUpdate[];
 	  }
 	/**
 	Requests that were answered whole though they had been at crashes.
@@ -74,12 +74,14 @@
 export const quarantineRows = (message: QuarantineMessage): readonly Row[] => {
 	switch (message.kind) {
 		case 'crashes': {
-			return message.runs.map(({life, agoMs, fingerprint, sentAgoMs}) => [
-				life,
-				Math.round(agoMs),
-				fingerprint,
-				Math.round(sentAgoMs),
-			]);
+			return message.runs.map(
+				({incarnationId, agoMs, fingerprint, sentAgoMs}) => [
+					incarnationId,
+					Math.round(agoMs),
+					fingerprint,
+					Math.round(sentAgoMs),
+				],
+			);
 		}
 
 		case 'quarantine': {
@@ -106,12 +108,14 @@
 ): QuarantineMessage => {
 	switch (kind) {
 		case 'crashes': {
-			const runs = rows.map(([life, agoMs, fingerprint, sentAgoMs]) => ({
-				life: checkText(life),
-				agoMs: checkCount(agoMs),
-				fingerprint: checkText(fingerprint),
-				sentAgoMs: checkCount(sentAgoMs),
-			}));
+			const runs = rows.map(
+				([incarnationId, agoMs, fingerprint, sentAgoMs]) => ({
+					incarnationId: checkText(incarnationId),
+					agoMs: checkCount(agoMs),
+					fingerprint: checkText(fingerprint),
+					sentAgoMs: checkCount(sentAgoMs),
+				}),
+			);
 			return {kind, from, runs};
 		}
 
--- a/src/peers/usage-messages.ts
+++ b/src/peers/usage-messages.ts
@@ -2,7 +2,7 @@
 	AccountTotal,
 	AccountUsage,
 	LimitTotals,
-	ZoneWord,
+	ZoneUsage,
 } from '../limits/index.ts';
 import {checkCount, checkText} from './tuple-checks.ts';
 
@@ -24,7 +24,7 @@
 			The availability zone whose sum it is.
 			*/
 			readonly from: string;
-			readonly word: ZoneWord;
+			readonly usage: ZoneUsage;
 	  }
 	| {
 			readonly kind: 'totals';
@@ -56,16 +56,18 @@
 		}
 
 		case 'zone': {
-			return message.word.usages.map((usage) => rowOf(usage));
+			return message.usage.usages.map((usage) => rowOf(usage));
 		}
 
 		case 'totals': {
-			return message.totals.accounts.map(({account, total, passedBySilent}) => [
-				account,
-				total.asked,
-				total.passed,
-				passedBySilent,
-			]);
+			return message.totals.accounts.map(
+				({account, total, admittedByUnreachable}) => [
+					account,
+					total.requested,
+					total.admitted,
+					admittedByUnreachable,
+				],
+			);
 		}
 	}
 };
@@ -73,18 +75,18 @@
 /**
 What part of the nodes, or of the limits, a message is of, from 0 to 1.
 */
-export const usagePart = (message: UsageMessage): number => {
+export const usageFraction = (message: UsageMessage): number => {
 	switch (message.kind) {
 		case 'node': {
 			return 1;
 		}
 
 		case 'zone': {
-			return message.word.part;
+			return message.usage.nodeFraction;
 		}
 
 		case 'totals': {
-			return message.totals.limitPart;
+			return message.totals.limitFraction;
 		}
 	}
 };
@@ -105,32 +107,32 @@
 
 		case 'zone': {
 			const usages = rows.map((row) => decodeUsage(row));
-			return {kind, from, word: {part: checkPart(part), usages}};
+			return {kind, from, usage: {nodeFraction: checkPart(part), usages}};
 		}
 
 		case 'totals': {
 			const accounts = rows.map((row) => decodeTotal(row));
-			return {kind, from, totals: {limitPart: checkPart(part), accounts}};
+			return {kind, from, totals: {limitFraction: checkPart(part), accounts}};
 		}
 	}
 };
 
-const rowOf = ({account, asked, passed}: AccountUsage): Row => [
+const rowOf = ({account, requested, admitted}: AccountUsage): Row => [
 	account,
-	asked,
-	passed,
+	requested,
+	admitted,
 ];
 
 const decodeUsage = (row: Row): AccountUsage => ({
 	account: checkText(row[0]),
-	asked: checkCount(row[1]),
-	passed: checkCount(row[2]),
+	requested: checkCount(row[1]),
+	admitted: checkCount(row[2]),
 });
 
 const decodeTotal = (row: Row): AccountTotal => ({
 	account: checkText(row[0]),
-	total: {asked: checkCount(row[1]), passed: checkCount(row[2])},
-	passedBySilent: checkCount(row[3]),
+	total: {requested: checkCount(row[1]), admitted: checkCount(row[2])},
+	admittedByUnreachable: checkCount(row[3]),
 });
 
 const checkPart = (value: unknown): number => {
--- a/src/prompts/cache-reader.ts
+++ b/src/prompts/cache-reader.ts
@@ -3,7 +3,7 @@
 	createKeyedLoops,
 	type Address,
 	type KeyedLoops,
-	type LoopTurn,
+	type LoopIteration,
 } from '../shared/index.ts';
 import type {CacheAnswerHead, CacheEvent, CacheSource} from './cache-source.ts';
 import type {PromptChange} from './prompt-map.ts';
@@ -11,7 +11,7 @@
 /**
 An engine whose memory is read.
 */
-export type ReadEngine = {
+export type CacheEngine = {
 	readonly id: string;
 	readonly address: Address;
 	/**
@@ -33,17 +33,17 @@
 	/**
 	The engines to read now; none where the duty is another node's.
 	*/
-	readonly engines: () => readonly ReadEngine[];
+	readonly engines: () => readonly CacheEngine[];
 	readonly publish: (changes: readonly PromptChange[]) => void;
-	readonly smallestTokens: number;
+	readonly minimumTokens: number;
 	/**
 	Milliseconds between two questions to an engine at the least, where it bounds what it is asked; 0 where it does not.
 	*/
-	readonly pauseMs: (engine: ReadEngine) => number;
+	readonly minimumIntervalMs: (engine: CacheEngine) => number;
 	/**
 	Milliseconds for which an engine must not be asked anything; 0 where it may be.
 	*/
-	readonly restMs: (engine: ReadEngine) => number;
+	readonly backoffMs: (engine: CacheEngine) => number;
 	/**
 	Milliseconds that only rise.
 	*/
@@ -52,7 +52,7 @@
 	Told the head of each answer, and when its request was sent.
 	*/
 	readonly onHead: (
-		engine: ReadEngine,
+		engine: CacheEngine,
 		head: CacheAnswerHead,
 		sentAt: number,
 	) => void;
@@ -63,12 +63,12 @@
 Pause between two questions to one engine, in milliseconds. Answers that come at once are paid for,
 and a prompt's home is asked for some times a second at the most.
 */
-export const readPauseMs = 700;
+export const cacheReadIntervalMs = 700;
 
 /**
 Pause after an engine did not answer, in milliseconds.
 */
-export const readRetryMs = 2000;
+export const cacheRetryIntervalMs = 2000;
 
 /**
 Builds a reader that reads nothing yet.
@@ -77,7 +77,7 @@
 	const livesRead = new Map<string, number | undefined>();
 
 	// An engine that has started again holds nothing of what was read of its earlier life.
-	const beginTurn = (engine: ReadEngine): LoopTurn => {
+	const beginTurn = (engine: CacheEngine): LoopIteration => {
 		const {id, startedAt} = engine;
 		if (livesRead.has(id) && livesRead.get(id) !== startedAt) {
 			options.publish([[id, '', 0]]);
@@ -102,20 +102,20 @@
 	{
 		source,
 		publish,
-		smallestTokens,
-		pauseMs,
-		restMs,
+		minimumTokens,
+		minimumIntervalMs,
+		backoffMs,
 		clock,
 		onHead,
 		logger,
 	}: CacheReaderOptions,
-	engine: ReadEngine,
-): LoopTurn => {
+	engine: CacheEngine,
+): LoopIteration => {
 	let since = 0;
 	let epoch: string | undefined;
 
 	return async (isOver) => {
-		const leftMs = restMs(engine);
+		const leftMs = backoffMs(engine);
 		if (leftMs > 0) {
 			return leftMs;
 		}
@@ -133,7 +133,7 @@
 				{server: engine.id, reason: answer.reason},
 				'memory of an engine cannot be read',
 			);
-			return Math.max(readRetryMs, pauseMs(engine));
+			return Math.max(cacheRetryIntervalMs, minimumIntervalMs(engine));
 		}
 
 		// A restart empties the memory; what was told of it before no longer holds.
@@ -141,17 +141,17 @@
 		({epoch, next: since} = answer);
 		publish([
 			...(isRestarted ? [[engine.id, '', 0] as const] : []),
-			...longPartsOf(engine.id, answer.events, smallestTokens),
+			...longPartsOf(engine.id, answer.events, minimumTokens),
 		]);
-		return Math.max(readPauseMs, pauseMs(engine));
+		return Math.max(cacheReadIntervalMs, minimumIntervalMs(engine));
 	};
 };
 
 const longPartsOf = (
 	id: string,
 	events: readonly CacheEvent[],
-	smallestTokens: number,
+	minimumTokens: number,
 ): readonly PromptChange[] =>
 	events
-		.filter(({tokens}) => tokens === 0 || tokens >= smallestTokens)
+		.filter(({tokens}) => tokens === 0 || tokens >= minimumTokens)
 		.map(({part, tokens}) => [id, part, tokens]);
--- a/src/prompts/feed-follower.ts
+++ b/src/prompts/feed-follower.ts
@@ -2,9 +2,9 @@
 	createKeyedLoops,
 	type Address,
 	type KeyedLoops,
-	type LoopTurn,
+	type LoopIteration,
 } from '../shared/index.ts';
-import type {FeedAnswer, FeedQuestion, FeedScope} from './prompt-feed.ts';
+import type {FeedAnswer, FeedQuery, FeedScope} from './prompt-feed.ts';
 import type {PromptChange} from './prompt-map.ts';
 
 /**
@@ -34,7 +34,7 @@
 	*/
 	readonly ask: (
 		source: FeedSource,
-		question: FeedQuestion,
+		question: FeedQuery,
 	) => Promise<FeedAnswer | undefined>;
 	readonly publish: (changes: readonly PromptChange[]) => void;
 };
@@ -43,7 +43,7 @@
 Pause between two questions to one node, in milliseconds: several changes come with one answer, and
 questions between regions are paid for by their bytes.
 */
-export const feedPauseMs: Readonly<Record<FeedScope, number>> = {
+export const feedIntervalMs: Readonly<Record<FeedScope, number>> = {
 	all: 300,
 	zone: 1000,
 };
@@ -51,7 +51,7 @@
 /**
 Pause after a node did not answer, in milliseconds.
 */
-export const feedRetryMs = 1500;
+export const feedRetryIntervalMs = 1500;
 
 /**
 Builds a follower that follows nobody yet.
@@ -67,7 +67,7 @@
 const createTurn = (
 	{ask, publish}: FeedFollowerOptions,
 	source: FeedSource,
-): LoopTurn => {
+): LoopIteration => {
 	const {scope} = source;
 	let epoch = '';
 	let after = 0;
@@ -79,12 +79,12 @@
 		}
 
 		if (!answer) {
-			return feedRetryMs;
+			return feedRetryIntervalMs;
 		}
 
 		({epoch, next: after} = answer);
 		publish(answer.isWhole ? wholeOf(answer.changes) : answer.changes);
-		return feedPauseMs[scope];
+		return feedIntervalMs[scope];
 	};
 };
 
--- a/src/prompts/prompt-feed.ts
+++ b/src/prompts/prompt-feed.ts
@@ -1,4 +1,4 @@
-import {createHeldCalls} from '../shared/index.ts';
+import {createLongPollWaiters} from '../shared/index.ts';
 import type {PromptChange, PromptMap} from './prompt-map.ts';
 
 /**
@@ -14,7 +14,7 @@
 /**
 A question for what changed in a node's map.
 */
-export type FeedQuestion = {
+export type FeedQuery = {
 	readonly scope: FeedScope;
 	/**
 	Of the last answer; empty at first.
@@ -50,7 +50,7 @@
 	/**
 	Held for a while when there is nothing.
 	*/
-	answer(question: FeedQuestion): Promise<FeedAnswer>;
+	answer(question: FeedQuery): Promise<FeedAnswer>;
 };
 
 /**
@@ -68,12 +68,12 @@
 /**
 How long a question is held when there is nothing to tell, in milliseconds.
 */
-export const feedWaitMs = 1900;
+export const feedLongPollMs = 1900;
 
 /**
 Changes that are kept for other nodes; one that is further behind is told everything.
 */
-export const keptPromptChanges = 1000;
+export const maximumFeedChanges = 1000;
 
 /**
 Builds a feed without changes.
@@ -84,7 +84,7 @@
 	isInZone,
 }: PromptFeedOptions): PromptFeed => {
 	const log: PromptChange[] = [];
-	const held = createHeldCalls();
+	const held = createLongPollWaiters();
 	let next = 0;
 
 	const isWanted = (scope: FeedScope, [server]: PromptChange): boolean => {
@@ -99,7 +99,7 @@
 		}
 	};
 
-	const answerNow = (question: FeedQuestion): FeedAnswer => {
+	const answerNow = (question: FeedQuery): FeedAnswer => {
 		const missing = next - question.after;
 		const isWhole =
 			question.epoch !== epoch || missing < 0 || missing > log.length;
@@ -117,14 +117,14 @@
 			const news = changes.filter((change) => map.apply(change));
 			next += news.length;
 			log.push(...news);
-			log.splice(0, Math.max(0, log.length - keptPromptChanges));
+			log.splice(0, Math.max(0, log.length - maximumFeedChanges));
 			if (news.length > 0) {
 				held.release();
 			}
 		},
 		async answer(question) {
 			if (question.epoch === epoch && question.after === next) {
-				await held.wait(feedWaitMs);
+				await held.wait(feedLongPollMs);
 			}
 
 			return answerNow(question);
--- a/src/quarantine/crash-ledger.ts
+++ b/src/quarantine/crash-ledger.ts
@@ -6,7 +6,7 @@
 /**
 What is known against a request.
 */
-export type Standing =
+export type QuarantineStatus =
 	| {readonly kind: 'clear'}
 	/**
 	It was at servers when they crashed; so were others.
@@ -29,20 +29,20 @@
 	/**
 	Takes in what a node saw of a crash, in any order and any number of times.
 	*/
-	hear(crash: Crash, now: number): void;
+	addCrash(crash: Crash, now: number): void;
 	/**
 	Takes in that another node put a request in quarantine; returns whether that is news.
 	*/
-	hearEntry(entry: QuarantineEntry, now: number): boolean;
+	mergeEntry(entry: QuarantineEntry, now: number): boolean;
 	/**
 	A request was answered whole; returns whether anything was known against it.
 	*/
 	served(fingerprint: string): boolean;
-	standing(fingerprint: string, now: number): Standing;
+	status(fingerprint: string, now: number): QuarantineStatus;
 	/**
 	Puts requests in quarantine of whose crashes all is heard, and returns them; called at each tick.
 	*/
-	settle(now: number): readonly QuarantineEntry[];
+	evaluate(now: number): readonly QuarantineEntry[];
 	/**
 	Requests in quarantine.
 	*/
@@ -61,13 +61,13 @@
 A request that was at so many crashes, one after the other, may be put in quarantine. Not whatever was at them is: requests
 that crash nothing were there by chance, and the blame is weighed as below.
 */
-export const fewestCrashes = 3;
+export const minimumCrashes = 3;
 
 /**
 The part of the blame for its crashes that puts a request in quarantine. The blame for a crash is shared by all that
 were there, by what each is to blame for elsewhere; two that were at the same three crashes have one and a half each.
 */
-export const enoughBlame = 1.6;
+export const blameThreshold = 1.6;
 
 // One more crash weighs five times as much, so that a request with three has most of the blame beside two dozen with one.
 const weightOf = (crashes: number): number => 5 ** crashes;
@@ -75,13 +75,13 @@
 /**
 At so many crashes one after the other it is, whatever else was there.
 */
-export const certainCrashes = 6;
+export const conclusiveCrashes = 6;
 
 /**
 How long the other nodes have to tell what they saw of a crash, in milliseconds: the way between two regions, and what
 they take to see that nobody listens any more.
 */
-export const settleMs = 200;
+export const crashReportWindowMs = 200;
 
 /**
 Builds a ledger without an entry.
@@ -98,7 +98,7 @@
 
 	const unexplained = (fingerprint: string): readonly CrashRecord[] =>
 		records
-			.livesOf(fingerprint)
+			.incarnationIdsOf(fingerprint)
 			.values()
 			.map((life) => records.of(life)!)
 			.filter((record) => !isExplained(record, fingerprint))
@@ -107,7 +107,7 @@
 	// Crashes of which each came after the run before had ended: what was at several servers of a zone that lost power was
 	// at one crash.
 	const crashesInTurn = (fingerprint: string): number => {
-		let count = list.crashesOwed(fingerprint);
+		let count = list.priorCrashes(fingerprint);
 		let endedAt = -Infinity;
 		const inOrder = unexplained(fingerprint).toSorted(
 			(left, right) => left.at - right.at,
@@ -126,7 +126,7 @@
 
 	// Its share of the blame for each crash, added up. Two that were at the same three crashes have one and a half each.
 	const blameOf = (fingerprint: string): number => {
-		let blame = list.crashesOwed(fingerprint);
+		let blame = list.priorCrashes(fingerprint);
 		for (const {runs} of unexplained(fingerprint)) {
 			let weight = 0;
 			for (const other of runs.keys()) {
@@ -143,7 +143,7 @@
 	const candidates = ({runs}: CrashRecord): readonly string[] =>
 		runs
 			.keys()
-			.filter((fingerprint) => crashesInTurn(fingerprint) >= fewestCrashes)
+			.filter((fingerprint) => crashesInTurn(fingerprint) >= minimumCrashes)
 			.toArray();
 
 	const judge = (
@@ -158,7 +158,8 @@
 		}
 
 		const isToBlame =
-			crashesInTurn(first) >= certainCrashes || blameOf(first) >= enoughBlame;
+			crashesInTurn(first) >= conclusiveCrashes ||
+			blameOf(first) >= blameThreshold;
 		return isToBlame ? list.add(first, now) : undefined;
 	};
 
@@ -166,43 +167,43 @@
 		lives.values().some((life) => unsettled.has(life));
 
 	return {
-		hear(crash, now) {
+		addCrash(crash, now) {
 			// A node that was frozen, or cut off, tells late: its word may change what was concluded.
 			if (records.add(crash, now)) {
-				unsettled.add(crash.life);
+				unsettled.add(crash.incarnationId);
 			}
 		},
-		hearEntry: list.hear,
+		mergeEntry: list.merge,
 		served(fingerprint) {
 			const wasAtCrash = records.clear(fingerprint);
 			const wasListed = list.remove(fingerprint);
 			return wasAtCrash || wasListed;
 		},
-		standing(fingerprint, now) {
+		status(fingerprint, now) {
 			const until = list.until(fingerprint, now);
 			if (until !== undefined) {
 				return {kind: 'quarantined', until};
 			}
 
-			const lives = records.livesOf(fingerprint);
+			const lives = records.incarnationIdsOf(fingerprint);
 			if (lives.size === 0 && !list.isListed(fingerprint)) {
 				return {kind: 'clear'};
 			}
 
 			const count = crashesInTurn(fingerprint);
-			if (count >= fewestCrashes && isUnsettled(lives)) {
+			if (count >= minimumCrashes && isUnsettled(lives)) {
 				return {kind: 'pending'};
 			}
 
 			return count === 0 ? {kind: 'clear'} : {kind: 'suspect', crashes: count};
 		},
-		settle(now) {
+		evaluate(now) {
 			records.dropOld(now);
 			list.tick(now);
 			const found: QuarantineEntry[] = [];
 			for (const life of unsettled) {
 				const record = records.of(life);
-				if (record && now - record.heardAt < settleMs) {
+				if (record && now - record.receivedAt < crashReportWindowMs) {
 					continue;
 				}
 
--- a/src/quarantine/crash-log.ts
+++ b/src/quarantine/crash-log.ts
@@ -31,7 +31,7 @@
 /**
 Fingerprints in one line at the most.
 */
-export const fingerprintsOfLine = 24;
+export const maximumFingerprintsPerLine = 24;
 
 const secondMs = 1000;
 
@@ -64,16 +64,16 @@
 	};
 
 	return {
-		crashed({life, at, runs}, now) {
+		crashed({incarnationId, at, runs}, now) {
 			// What is seen of one crash comes in parts.
-			crashesSeen += life === latest ? 0 : 1;
-			latest = life;
+			crashesSeen += incarnationId === latest ? 0 : 1;
+			latest = incarnationId;
 			const facts = {
-				server: life,
+				server: incarnationId,
 				brokeMsAgo: Math.round(now - at),
 				requests: runs.length,
 				fingerprints: runs
-					.slice(0, fingerprintsOfLine)
+					.slice(0, maximumFingerprintsPerLine)
 					.map(({fingerprint}) => fingerprint)
 					.join(' '),
 			};
--- a/src/quarantine/crash-records.ts
+++ b/src/quarantine/crash-records.ts
@@ -1,4 +1,4 @@
-import {maximumRunsOfCrash, type Crash} from './crash.ts';
+import {maximumRunsPerCrash, type Crash} from './crash.ts';
 
 /**
 How long a crash is remembered, in milliseconds.
@@ -16,7 +16,7 @@
 */
 export type CrashRecord = {
 	readonly at: number;
-	readonly heardAt: number;
+	readonly receivedAt: number;
 	/**
 	By fingerprint, when it was sent to the server.
 	*/
@@ -35,7 +35,7 @@
 	/**
 	Lives of servers that ended while a request was there.
 	*/
-	livesOf(fingerprint: string): ReadonlySet<string>;
+	incarnationIdsOf(fingerprint: string): ReadonlySet<string>;
 	/**
 	Takes a request off all crashes; returns whether it was at one.
 	*/
@@ -60,20 +60,20 @@
 	const crashes = new Map<string, CrashRecord>();
 	const livesByRun = new Map<string, Set<string>>();
 
-	const forget = (life: string) => {
-		for (const fingerprint of crashes.get(life)?.runs.keys() ?? []) {
+	const forget = (incarnationId: string) => {
+		for (const fingerprint of crashes.get(incarnationId)?.runs.keys() ?? []) {
 			const lives = livesByRun.get(fingerprint);
-			lives?.delete(life);
+			lives?.delete(incarnationId);
 			if (lives?.size === 0) {
 				livesByRun.delete(fingerprint);
 			}
 		}
 
-		crashes.delete(life);
+		crashes.delete(incarnationId);
 	};
 
-	const recordOf = ({life, at}: Crash, now: number): CrashRecord => {
-		const known = crashes.get(life);
+	const recordOf = ({incarnationId, at}: Crash, now: number): CrashRecord => {
+		const known = crashes.get(incarnationId);
 		if (known) {
 			return known;
 		}
@@ -82,15 +82,15 @@
 			forget(crashes.keys().next().value!);
 		}
 
-		const record = {at, heardAt: now, runs: new Map<string, number>()};
-		crashes.set(life, record);
+		const record = {at, receivedAt: now, runs: new Map<string, number>()};
+		crashes.set(incarnationId, record);
 		return record;
 	};
 
 	// Where a server had more under way than is remembered, what was at another crash as well goes before the rest.
 	const hasPlaceFor = ({runs}: CrashRecord, fingerprint: string): boolean =>
-		runs.size < maximumRunsOfCrash ||
-		(runs.size < maximumRunsOfCrash * 2 && livesByRun.has(fingerprint));
+		runs.size < maximumRunsPerCrash ||
+		(runs.size < maximumRunsPerCrash * 2 && livesByRun.has(fingerprint));
 
 	return {
 		add(crash, now) {
@@ -104,27 +104,27 @@
 				isNews ||= !record.runs.has(fingerprint);
 				record.runs.set(fingerprint, sentAt);
 				const lives = livesByRun.get(fingerprint) ?? new Set();
-				livesByRun.set(fingerprint, lives.add(crash.life));
+				livesByRun.set(fingerprint, lives.add(crash.incarnationId));
 			}
 
 			return isNews;
 		},
-		of: (life) => crashes.get(life),
-		livesOf: (fingerprint) => livesByRun.get(fingerprint) ?? none,
+		of: (incarnationId) => crashes.get(incarnationId),
+		incarnationIdsOf: (fingerprint) => livesByRun.get(fingerprint) ?? none,
 		clear(fingerprint) {
-			for (const life of livesByRun.get(fingerprint) ?? none) {
-				crashes.get(life)?.runs.delete(fingerprint);
+			for (const incarnationId of livesByRun.get(fingerprint) ?? none) {
+				crashes.get(incarnationId)?.runs.delete(fingerprint);
 			}
 
 			return livesByRun.delete(fingerprint);
 		},
 		dropOld(now) {
-			for (const [life, {heardAt}] of crashes) {
-				if (now - heardAt <= crashRetentionMs) {
+			for (const [incarnationId, {receivedAt}] of crashes) {
+				if (now - receivedAt <= crashRetentionMs) {
 					return;
 				}
 
-				forget(life);
+				forget(incarnationId);
 			}
 		},
 		size: () => livesByRun.size,
--- a/src/quarantine/crash-watch.ts
+++ b/src/quarantine/crash-watch.ts
@@ -1,4 +1,4 @@
-import {maximumRunsOfCrash, type Crash} from './crash.ts';
+import {maximumRunsPerCrash, type Crash} from './crash.ts';
 
 /**
 A request whose connection to a backend server ended without a whole answer.
@@ -8,7 +8,7 @@
 	/**
 	Names the life of the server that it was sent to.
 	*/
-	readonly life: string;
+	readonly incarnationId: string;
 	readonly fingerprint: string;
 	readonly sentAt: number;
 };
@@ -20,19 +20,19 @@
 crashed where nobody listens at its address any more, or where its entry goes or names a later start.
 */
 export type CrashWatch = {
-	broke(run: BrokenRun, now: number): void;
+	connectionBroken(run: BrokenRun, now: number): void;
 	/**
 	Nobody listens at the server's address.
 	*/
-	refused(life: string, now: number): void;
+	connectionRefused(life: string, now: number): void;
 	/**
 	The server lives, or its end was planned.
 	*/
-	acquitted(life: string): void;
+	crashRuledOut(life: string): void;
 	/**
 	The server's entry has gone, or names a later start, without a word of its leaving.
 	*/
-	gone(life: string): void;
+	entryRemoved(life: string): void;
 	/**
 	Forgets what is too old to prove anything; called at each tick.
 	*/
@@ -46,7 +46,7 @@
 	/**
 	Asks a server whether it lives; `refused` or `acquitted` may follow.
 	*/
-	readonly ask: (server: string, life: string) => void;
+	readonly probe: (server: string, life: string) => void;
 	/**
 	Told of each crash, and again of requests whose connections are seen to break later.
 	*/
@@ -57,17 +57,17 @@
 How long after a connection broke a sign of the server's end counts for it, in milliseconds. The entry of a server
 that says nothing any more goes after some four seconds.
 */
-export const proofWithinMs = 6000;
+export const crashEvidenceWindowMs = 6000;
 
 /**
 Pause between two questions to one server, in milliseconds: servers that break single answers off break many.
 */
-export const askAgainMs = 500;
+export const crashProbeIntervalMs = 500;
 
 /**
 Lives of servers that are watched at once at the most; the oldest gives way.
 */
-export const maximumWatched = 256;
+export const maximumWatchedIncarnations = 256;
 
 type Watched = {
 	readonly since: number;
@@ -83,19 +83,19 @@
 Builds a watch that has seen nothing.
 */
 export const createCrashWatch = ({
-	ask,
+	probe,
 	onCrash,
 }: CrashWatchOptions): CrashWatch => {
 	// In the order in which they were first seen.
 	const watched = new Map<string, Watched>();
 
-	const watchedOf = (life: string, now: number): Watched => {
-		const known = watched.get(life);
+	const watchedOf = (incarnationId: string, now: number): Watched => {
+		const known = watched.get(incarnationId);
 		if (known) {
 			return known;
 		}
 
-		if (watched.size >= maximumWatched) {
+		if (watched.size >= maximumWatchedIncarnations) {
 			watched.delete(watched.keys().next().value!);
 		}
 
@@ -105,11 +105,11 @@
 			isCrash: false,
 			runs: new Map<string, number>(),
 		};
-		watched.set(life, entry);
+		watched.set(incarnationId, entry);
 		return entry;
 	};
 
-	const tell = (life: string, entry: Watched) => {
+	const tell = (incarnationId: string, entry: Watched) => {
 		entry.isCrash = true;
 		if (entry.runs.size === 0) {
 			return;
@@ -120,41 +120,41 @@
 			sentAt,
 		}));
 		entry.runs = new Map();
-		onCrash({life, at: entry.since, runs});
+		onCrash({incarnationId, at: entry.since, runs});
 	};
 
 	return {
-		broke({server, life, fingerprint, sentAt}, now) {
-			const entry = watchedOf(life, now);
-			if (entry.runs.size < maximumRunsOfCrash) {
+		connectionBroken({server, incarnationId, fingerprint, sentAt}, now) {
+			const entry = watchedOf(incarnationId, now);
+			if (entry.runs.size < maximumRunsPerCrash) {
 				entry.runs.set(fingerprint, sentAt);
 			}
 
 			if (entry.isCrash) {
-				tell(life, entry);
-			} else if (now - entry.askedAt >= askAgainMs) {
+				tell(incarnationId, entry);
+			} else if (now - entry.askedAt >= crashProbeIntervalMs) {
 				entry.askedAt = now;
-				ask(server, life);
+				probe(server, incarnationId);
 			}
 		},
-		refused(life, now) {
-			tell(life, watchedOf(life, now));
+		connectionRefused(incarnationId, now) {
+			tell(incarnationId, watchedOf(incarnationId, now));
 		},
-		acquitted(life) {
-			if (watched.get(life)?.isCrash === false) {
-				watched.delete(life);
+		crashRuledOut(incarnationId) {
+			if (watched.get(incarnationId)?.isCrash === false) {
+				watched.delete(incarnationId);
 			}
 		},
-		gone(life) {
-			const entry = watched.get(life);
+		entryRemoved(incarnationId) {
+			const entry = watched.get(incarnationId);
 			if (entry) {
-				tell(life, entry);
+				tell(incarnationId, entry);
 			}
 		},
 		tick(now) {
-			for (const [life, {since}] of watched) {
-				if (now - since > proofWithinMs) {
-					watched.delete(life);
+			for (const [incarnationId, {since}] of watched) {
+				if (now - since > crashEvidenceWindowMs) {
+					watched.delete(incarnationId);
 				}
 			}
 		},
--- a/src/quarantine/crash.ts
+++ b/src/quarantine/crash.ts
@@ -19,7 +19,7 @@
 	/**
 	Names the life of the server that ended.
 	*/
-	readonly life: string;
+	readonly incarnationId: string;
 	/**
 	When the first connection to it broke, on this node's clock in milliseconds.
 	*/
@@ -30,4 +30,4 @@
 /**
 Requests of one crash that are remembered at the most: about as many as a server runs at once and queues.
 */
-export const maximumRunsOfCrash = 96;
+export const maximumRunsPerCrash = 96;
--- a/src/quarantine/quarantine-list.ts
+++ b/src/quarantine/quarantine-list.ts
@@ -15,7 +15,7 @@
 	/**
 	Takes in what another node has; returns whether it is news.
 	*/
-	hear(entry: QuarantineEntry, now: number): boolean;
+	merge(entry: QuarantineEntry, now: number): boolean;
 	/**
 	Returns whether it was there.
 	*/
@@ -31,7 +31,7 @@
 	/**
 	Crashes that count against a request beforehand: one that was in quarantine goes back after one more.
 	*/
-	crashesOwed(fingerprint: string): number;
+	priorCrashes(fingerprint: string): number;
 	entries(now: number): readonly QuarantineEntry[];
 	isEmpty(): boolean;
 	/**
@@ -84,7 +84,7 @@
 			store(entry);
 			return entry;
 		},
-		hear(entry, now) {
+		merge(entry, now) {
 			const known = listed.get(entry.fingerprint);
 			const isNews =
 				!known ||
@@ -103,7 +103,7 @@
 			return known && isInForce(known, now) ? known.until : undefined;
 		},
 		isListed: (fingerprint) => listed.has(fingerprint),
-		crashesOwed: (fingerprint) =>
+		priorCrashes: (fingerprint) =>
 			listed.has(fingerprint) ? owedAfterQuarantine : 0,
 		entries: (now) =>
 			listed
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -1,9 +1,12 @@
 import type {Logger} from '../logging/index.ts';
-import type {Without} from '../mechanisms/index.ts';
+import type {DisabledMechanisms} from '../mechanisms/index.ts';
 import type {Member} from '../membership/index.ts';
-import type {QuarantineMessage, ToldRun} from '../peers/quarantine-messages.ts';
+import type {
+	QuarantineMessage,
+	CrashUpdate,
+} from '../peers/quarantine-messages.ts';
 import type {Random} from '../shared/index.ts';
-import {createCrashLedger, type Standing} from './crash-ledger.ts';
+import {createCrashLedger, type QuarantineStatus} from './crash-ledger.ts';
 import {createCrashLog} from './crash-log.ts';
 import {createCrashWatch, type CrashWatch} from './crash-watch.ts';
 import type {Crash} from './crash.ts';
@@ -16,7 +19,7 @@
 	/**
 	What is known against a request; its fingerprint is only asked for where anything is known against any.
 	*/
-	standing(fingerprint: () => string, now: number): Standing;
+	status(fingerprint: () => string, now: number): QuarantineStatus;
 	/**
 	A request was answered whole.
 	*/
@@ -24,7 +27,7 @@
 	/**
 	Takes in what another node tells.
 	*/
-	hear(message: QuarantineMessage, now: number): void;
+	receive(message: QuarantineMessage, now: number): void;
 	/**
 	Finds requests out and tells other nodes; called at each tick.
 	*/
@@ -46,20 +49,20 @@
 	The other nodes that can be told; replaced when they change.
 	*/
 	readonly usable: () => readonly Member[];
-	readonly tell: (
+	readonly send: (
 		members: readonly Member[],
 		message: QuarantineMessage,
 	) => void;
 	/**
 	Asks a backend server whether it lives its life still.
 	*/
-	readonly ask: (server: string, life: string) => void;
+	readonly probe: (server: string, life: string) => void;
 	/**
 	Told of each request that is put in quarantine, here or by another node.
 	*/
 	readonly onQuarantined: (fingerprint: string) => void;
 	readonly random: Random;
-	readonly without: Without;
+	readonly without: DisabledMechanisms;
 	readonly clock: () => number;
 	readonly logger: Logger;
 };
@@ -72,15 +75,15 @@
 /**
 Requests in quarantine that one reminder names at the most; the others follow in turn.
 */
-export const remindedAtOnce = 30;
+export const maximumGossipEntries = 30;
 
 /**
 Requests at crashed servers that are told at one tick at the most. A zone that loses power takes dozens of servers, and none
 of its requests is to blame.
 */
-export const toldAtOnce = 200;
+export const maximumRunsPerTick = 200;
 
-const clear: Standing = {kind: 'clear'};
+const clear: QuarantineStatus = {kind: 'clear'};
 
 /**
 Builds a quarantine without an entry.
@@ -88,8 +91,8 @@
 export const createQuarantine = ({
 	self,
 	usable,
-	tell,
-	ask,
+	send,
+	probe,
 	onQuarantined,
 	random,
 	without,
@@ -105,7 +108,7 @@
 	let told: readonly Member[] = [];
 
 	const watch = createCrashWatch({
-		ask,
+		probe,
 		onCrash(crash) {
 			const now = clock();
 			log.crashed(crash, now);
@@ -113,7 +116,7 @@
 				return;
 			}
 
-			ledger.hear(crash, now);
+			ledger.addCrash(crash, now);
 			unsaid.push(crash);
 		},
 	});
@@ -125,8 +128,8 @@
 			return;
 		}
 
-		const some = runs.slice(0, toldAtOnce);
-		tell(usable(), {kind: 'crashes', from: self, runs: some});
+		const some = runs.slice(0, maximumRunsPerTick);
+		send(usable(), {kind: 'crashes', from: self, runs: some});
 	};
 
 	const tellEntries = (
@@ -138,7 +141,7 @@
 			return;
 		}
 
-		tell(members, {
+		send(members, {
 			kind: 'quarantine',
 			from: self,
 			entries: entries.map(({fingerprint, until, level}) => ({
@@ -158,8 +161,8 @@
 
 		remindAt = now + quarantineGossipMs;
 		const first = reminded % entries.length;
-		reminded = first + remindedAtOnce;
-		const some = entries.slice(first, first + remindedAtOnce);
+		reminded = first + maximumGossipEntries;
+		const some = entries.slice(first, first + maximumGossipEntries);
 		tellEntries([members[random.below(members.length)]!], some, now);
 	};
 
@@ -190,7 +193,7 @@
 		for (const {fingerprint, leftMs, level} of entries) {
 			const until = now + Math.min(leftMs, longestQuarantineMs);
 			const entry = {fingerprint, until, level};
-			if (ledger.hearEntry(entry, now)) {
+			if (ledger.mergeEntry(entry, now)) {
 				found(entry, from, now);
 			}
 		}
@@ -198,8 +201,8 @@
 
 	return {
 		...watch,
-		standing: (fingerprint, now) =>
-			isOff || ledger.isEmpty() ? clear : ledger.standing(fingerprint(), now),
+		status: (fingerprint, now) =>
+			isOff || ledger.isEmpty() ? clear : ledger.status(fingerprint(), now),
 		served(fingerprint) {
 			if (ledger.isEmpty() || !ledger.served(fingerprint())) {
 				return;
@@ -207,9 +210,9 @@
 
 			log.cleared(fingerprint(), clock());
 			const fingerprints = [fingerprint()];
-			tell(usable(), {kind: 'served', from: self, fingerprints});
+			send(usable(), {kind: 'served', from: self, fingerprints});
 		},
-		hear(message, now) {
+		receive(message, now) {
 			if (isOff) {
 				return;
 			}
@@ -217,7 +220,7 @@
 			switch (message.kind) {
 				case 'crashes': {
 					for (const run of message.runs) {
-						ledger.hear(heardCrash(run, now), now);
+						ledger.addCrash(heardCrash(run, now), now);
 					}
 
 					return;
@@ -238,7 +241,7 @@
 		tick(now) {
 			watch.tick(now);
 			tellCrashes(now);
-			const entries = ledger.settle(now);
+			const entries = ledger.evaluate(now);
 			tellEntries(usable(), entries, now);
 			for (const entry of entries) {
 				found(entry, self, now);
@@ -256,19 +259,22 @@
 const memberLife = ({id, incarnation}: Member): string =>
 	`${id} ${incarnation}`;
 
-const toldRuns = ({life, at, runs}: Crash, now: number): readonly ToldRun[] =>
+const toldRuns = (
+	{incarnationId, at, runs}: Crash,
+	now: number,
+): readonly CrashUpdate[] =>
 	runs.map(({fingerprint, sentAt}) => ({
-		life,
+		incarnationId,
 		agoMs: now - at,
 		fingerprint,
 		sentAgoMs: now - sentAt,
 	}));
 
 const heardCrash = (
-	{life, agoMs, fingerprint, sentAgoMs}: ToldRun,
+	{incarnationId, agoMs, fingerprint, sentAgoMs}: CrashUpdate,
 	now: number,
 ): Crash => ({
-	life,
+	incarnationId,
 	at: now - agoMs,
 	runs: [{fingerprint, sentAt: now - sentAgoMs}],
 });
--- a/src/registry/peer-question.ts
+++ b/src/registry/catch-up-position.ts
@@ -10,7 +10,7 @@
 other node has later routes, or, once an era, where it holds to what the registry has lost. Revisions of a node that states no era say
 nothing once an era is known.
 */
-export const questionFor = (
+export const catchUpPosition = (
 	own: RegistryStamp & RegistryPosition,
 	told: RegistryStamp,
 	introducedEra: number | undefined,
@@ -21,7 +21,7 @@
 	}
 
 	const canKeepMore =
-		told.isBeyondRegistry && era === own.era && introducedEra !== own.era;
+		told.isAheadOfRegistry && era === own.era && introducedEra !== own.era;
 	return canKeepMore || told.routesVersion > own.routesVersion
 		? startPosition
 		: undefined;
--- a/src/registry/answer-era.ts
+++ b/src/registry/era-tracker.ts
@@ -1,16 +1,16 @@
 import type {Logger} from '../logging/index.ts';
-import type {TakenAnswer} from './registry-entry.ts';
+import type {RegistryUpdate} from './registry-entry.ts';
 import type {RegistryMirror} from './registry-mirror.ts';
 import type {RegistryPosition} from './registry-position.ts';
 
 /**
 Finds the era of the registry's answers.
 */
-export type AnswerEra = {
+export type EraTracker = {
 	/**
 	The era of an answer to a question that was asked at a position.
 	*/
-	of(answer: TakenAnswer, asked: RegistryPosition): number;
+	eraOf(answer: RegistryUpdate, asked: RegistryPosition): number;
 	/**
 	Whether the registry has stated an era in an answer.
 	*/
@@ -21,14 +21,14 @@
 Builds a finder for one registry. The registry states the era, or it shows: a node that asks at a position that the registry had
 acknowledged must not be answered with an earlier one, nor must a stated era fall. Either begins an era that this node counts itself.
 */
-export const createAnswerEra = (
+export const createEraTracker = (
 	mirror: Pick<RegistryMirror, 'isContradictedBy'>,
 	logger: Logger,
-): AnswerEra => {
+): EraTracker => {
 	let statedBefore: number | undefined;
 
 	return {
-		of(answer, asked) {
+		eraOf(answer, asked) {
 			const {era: stated, revision, items} = answer;
 			const hasFallen =
 				stated !== undefined &&
--- a/src/registry/index.ts
+++ b/src/registry/index.ts
@@ -9,4 +9,4 @@
 export * from './registry-mirror.ts';
 export * from './registry-follower.ts';
 export * from './registry-relay.ts';
-export * from './server-life.ts';
+export * from './server-incarnation.ts';
--- a/src/registry/outgoing-items.ts
+++ b/src/registry/outgoing-items.ts
@@ -46,9 +46,9 @@
 	const inForce = routes.item();
 	return [
 		...rows.values().map((item) => outgoingItem(state, item, now)),
-		...(inForce && routes.isBeyondRegistry() ? [inForce] : []),
+		...(inForce && routes.isAheadOfRegistry() ? [inForce] : []),
 		...evacuations
-			.kept(now)
+			.retained(now)
 			.map(({key, availabilityZone, remainingMs}): RegistryItem => ({
 				key,
 				revision: 0,
--- a/src/registry/registry-entry.ts
+++ b/src/registry/registry-entry.ts
@@ -96,7 +96,7 @@
 /**
 An answer that says something of the registry.
 */
-export type TakenAnswer = Extract<
+export type RegistryUpdate = Extract<
 	RegistryAnswer,
 	{kind: 'changes' | 'snapshot'}
 >;
--- a/src/registry/registry-evacuations.ts
+++ b/src/registry/registry-evacuations.ts
@@ -3,7 +3,7 @@
 /**
 An evacuation that the registry lost when it came back from an older copy.
 */
-export type KeptEvacuation = {
+export type RetainedEvacuation = {
 	readonly key: string;
 	readonly availabilityZone: string;
 	/**
@@ -16,18 +16,18 @@
 The zones whose backend servers must not be sent anything.
 */
 export type RegistryEvacuations = {
-	take(availabilityZone: string): readonly MirrorChange[];
+	register(availabilityZone: string): readonly MirrorChange[];
 	remove(availabilityZone: string): readonly MirrorChange[];
 	/**
 	Goes on with an evacuation that the registry does not name any more, for a time.
 	*/
-	keep(evacuation: KeptEvacuation, now: number): readonly MirrorChange[];
+	retain(evacuation: RetainedEvacuation, now: number): readonly MirrorChange[];
 	/**
 	The key of a kept evacuation was removed.
 	*/
-	removeKept(key: string): readonly MirrorChange[];
-	kept(now: number): readonly KeptEvacuation[];
-	hasKept(): boolean;
+	removeRetained(key: string): readonly MirrorChange[];
+	retained(now: number): readonly RetainedEvacuation[];
+	hasRetained(): boolean;
 	/**
 	Ends what was kept for its time.
 	*/
@@ -40,7 +40,7 @@
 How long an evacuation holds that the registry lost, unless it is written again, in milliseconds. The operator writes
 again within seconds; requests to an evacuated zone do more harm than its idle servers.
 */
-export const keptEvacuationMs = 30_000;
+export const evacuationRetentionMs = 30_000;
 
 /**
 Builds a view without evacuations.
@@ -59,13 +59,13 @@
 	};
 
 	return {
-		take(availabilityZone) {
+		register(availabilityZone) {
 			keptUntil.delete(availabilityZone);
 			active.add(availabilityZone);
 			return [{kind: 'evacuation', availabilityZone, isActive: true}];
 		},
 		remove,
-		keep({key, availabilityZone, remainingMs}, now) {
+		retain({key, availabilityZone, remainingMs}, now) {
 			keptUntil.set(availabilityZone, {key, until: now + remainingMs});
 			if (active.has(availabilityZone)) {
 				return [];
@@ -74,11 +74,11 @@
 			active.add(availabilityZone);
 			return [{kind: 'evacuation', availabilityZone, isActive: true}];
 		},
-		removeKept: (removedKey) =>
+		removeRetained: (removedKey) =>
 			[...keptUntil]
 				.filter(([, {key}]) => key === removedKey)
 				.flatMap(([availabilityZone]) => remove(availabilityZone)),
-		kept: (now) =>
+		retained: (now) =>
 			keptUntil
 				.entries()
 				.map(([availabilityZone, {key, until}]) => ({
@@ -87,7 +87,7 @@
 					remainingMs: Math.max(0, until - now),
 				}))
 				.toArray(),
-		hasKept: () => keptUntil.size > 0,
+		hasRetained: () => keptUntil.size > 0,
 		expire: (now) =>
 			[...keptUntil]
 				.filter(([, {until}]) => until <= now)
--- a/src/registry/registry-follower.ts
+++ b/src/registry/registry-follower.ts
@@ -1,11 +1,11 @@
 import type {Logger} from '../logging/index.ts';
 import type {Address} from '../shared/index.ts';
-import {createAnswerEra} from './answer-era.ts';
-import {questionFor} from './peer-question.ts';
+import {createEraTracker} from './era-tracker.ts';
+import {catchUpPosition} from './catch-up-position.ts';
 import type {
 	RegistryAnswer,
 	RegistrySource,
-	TakenAnswer,
+	RegistryUpdate,
 } from './registry-entry.ts';
 import type {RelayedAnswer} from './registry-relay.ts';
 import type {MirrorChange} from './mirror-change.ts';
@@ -22,7 +22,7 @@
 	/**
 	Says what another node has of the registry; a node that is behind asks it.
 	*/
-	heard(stamp: RegistryStamp, from: Address): void;
+	receiveStamp(stamp: RegistryStamp, from: Address): void;
 	tick(now: number): void;
 	/**
 	When the copy was last confirmed by the registry, or by a node that had it confirmed.
@@ -74,25 +74,25 @@
 	/**
 	A random number from 0 up to 1.
 	*/
-	readonly draw: () => number;
+	readonly randomFraction: () => number;
 	readonly logger: Logger;
 	readonly onChanges: (changes: readonly MirrorChange[]) => void;
 	/**
 	Told when this node read changes from the registry itself, so that others may hear of them.
 	*/
-	readonly onNews: () => void;
+	readonly announceChanges: () => void;
 };
 
 /**
 How long a question for changes is held, in milliseconds. A registry that falls silent is noticed
 that much later at the worst, well within the three seconds for a leaving backend server.
 */
-export const watchWaitMs = 1500;
+export const registryLongPollMs = 1500;
 
 /**
 Pause between two answers, in milliseconds, so that a burst of changes costs one call.
 */
-export const watchPauseMs = 250;
+export const registryPollPauseMs = 250;
 
 /**
 The same pause while a node does not know yet who reads the registry for its zone, in milliseconds. After a
@@ -109,25 +109,25 @@
 /**
 How long a node that hears of a later revision waits for its own watch, in milliseconds.
 */
-export const behindPatienceMs = 120;
+export const catchUpDelayMs = 120;
 
 /**
 How long a node reads the registry itself after its relay failed it, in milliseconds: until
 membership has found out about the relay.
 */
-export const relayPauseMs = 3000;
+export const relayFallbackMs = 3000;
 
 /**
 A relay whose own confirmation is older has trouble with the registry, in milliseconds. Where there
 were changes a relay counts from when it asked, so the time of a held question is part of it.
 */
-export const maximumRelayAgeMs = watchWaitMs + 1000;
+export const maximumRelayAgeMs = registryLongPollMs + 1000;
 
 /**
 Nodes whose relay cannot help them after the registry came back from an older copy read everything themselves, spread over this
 time, in milliseconds.
 */
-export const fullReadSpreadMs = 500;
+export const fullReadJitterMs = 500;
 
 /**
 A registry that drops its history again this soon after everything was read is given a pause, in milliseconds.
@@ -150,7 +150,7 @@
 	options: RegistryFollowerOptions,
 ): RegistryFollower => {
 	const {mirror, registry, clock, logger} = options;
-	const answerEra = createAnswerEra(mirror, logger);
+	const answerEra = createEraTracker(mirror, logger);
 	let isRunning = false;
 	let progress: Progress = 'reading';
 	let fullReadAt = -Infinity;
@@ -163,7 +163,7 @@
 	let behindTimer: NodeJS.Timeout | undefined;
 	let pause: NodeJS.Timeout | undefined;
 
-	const apply = (answer: TakenAnswer, origin: AnswerOrigin) => {
+	const apply = (answer: RegistryUpdate, origin: AnswerOrigin) => {
 		const changes = mirror.apply(answer, clock(), origin);
 		if (changes.length === 0) {
 			return;
@@ -172,7 +172,7 @@
 		options.onChanges(changes);
 		// What came from another node is known to others already.
 		if (origin === 'registry') {
-			options.onNews();
+			options.announceChanges();
 		}
 	};
 
@@ -220,7 +220,7 @@
 	};
 
 	const takeChanges = (
-		answer: TakenAnswer,
+		answer: RegistryUpdate,
 		asked: RegistryPosition,
 		askedAt: number,
 	): number => {
@@ -229,13 +229,13 @@
 			return 0;
 		}
 
-		const era = answerEra.of(answer, asked);
+		const era = answerEra.eraOf(answer, asked);
 		const own = mirror.position();
 		if (era === asked.era && era === own.era) {
 			apply({...answer, era}, 'registry');
 			confirmedAt = confirmationTime(answer, askedAt, clock());
 			noteAnswered(answer.kind);
-			return options.hasJustStarted() ? startupPauseMs : watchPauseMs;
+			return options.hasJustStarted() ? startupPauseMs : registryPollPauseMs;
 		}
 
 		// Changes after a revision of another era have a gap before them. Another node may have told of the later era meanwhile.
@@ -247,22 +247,22 @@
 	};
 
 	const takeEverything = (
-		answer: TakenAnswer,
+		answer: RegistryUpdate,
 		asked: RegistryPosition,
 		askedAt: number,
 	): number => {
-		const era = answerEra.of(answer, asked);
+		const era = answerEra.eraOf(answer, asked);
 		apply({...answer, era}, 'registry');
 		fullReadAt = clock();
 		// Another node has told of a later era meanwhile.
 		if (era < mirror.position().era) {
-			return watchPauseMs;
+			return registryPollPauseMs;
 		}
 
 		progress = 'current';
 		confirmedAt = askedAt;
 		noteAnswered(answer.kind);
-		return options.hasJustStarted() ? startupPauseMs : watchPauseMs;
+		return options.hasJustStarted() ? startupPauseMs : registryPollPauseMs;
 	};
 
 	const registryFailed = async (reason: string): Promise<number> => {
@@ -290,7 +290,7 @@
 				? await registry.snapshot()
 				: await registry.changes(
 						asked.revision,
-						progress === 'unverified' ? 0 : watchWaitMs,
+						progress === 'unverified' ? 0 : registryLongPollMs,
 					);
 		if (!isRunning) {
 			return 0;
@@ -308,7 +308,9 @@
 			case 'history-lost': {
 				logger.warn({...asked}, 'registry history is gone');
 				progress = 'outdated';
-				return clock() - fullReadAt < fullReadIntervalMs ? watchPauseMs : 0;
+				return clock() - fullReadAt < fullReadIntervalMs
+					? registryPollPauseMs
+					: 0;
 			}
 
 			case 'unavailable': {
@@ -335,7 +337,7 @@
 				apply(answer, 'peer');
 				progress = 'current';
 				confirmedAt = clock() - ageMs;
-				return watchPauseMs;
+				return registryPollPauseMs;
 			}
 		}
 
@@ -357,13 +359,13 @@
 			return pauseMs;
 		}
 
-		ownReadsUntil = clock() + relayPauseMs;
+		ownReadsUntil = clock() + relayFallbackMs;
 		if (progress !== 'outdated') {
 			return 0;
 		}
 
 		progress = 'reading';
-		return options.draw() * fullReadSpreadMs;
+		return options.randomFraction() * fullReadJitterMs;
 	};
 
 	const readEverything = async (): Promise<number> => {
@@ -415,21 +417,21 @@
 			clearTimeout(pause);
 			await registry.close();
 		},
-		heard(stamp, from) {
+		receiveStamp(stamp, from) {
 			if (
 				behindTimer !== undefined ||
-				questionFor(mirror.stamp(), stamp, introducedEra) === undefined
+				catchUpPosition(mirror.stamp(), stamp, introducedEra) === undefined
 			) {
 				return;
 			}
 
 			behindTimer = setTimeout(() => {
 				behindTimer = undefined;
-				const after = questionFor(mirror.stamp(), stamp, introducedEra);
+				const after = catchUpPosition(mirror.stamp(), stamp, introducedEra);
 				if (isRunning && after !== undefined) {
 					void askPeer(from, after);
 				}
-			}, behindPatienceMs);
+			}, catchUpDelayMs);
 		},
 		tick(now) {
 			const changes = mirror.expire(now);
@@ -442,7 +444,7 @@
 	};
 };
 
-const isTaken = (answer: RegistryAnswer): answer is TakenAnswer =>
+const isTaken = (answer: RegistryAnswer): answer is RegistryUpdate =>
 	answer.kind === 'changes' || answer.kind === 'snapshot';
 
 // An answer without changes that came after the whole wait was given when the wait was over. Any
@@ -454,6 +456,6 @@
 ): number =>
 	answer.kind === 'changes' &&
 	answer.items.length === 0 &&
-	now - askedAt >= watchWaitMs
-		? askedAt + watchWaitMs
+	now - askedAt >= registryLongPollMs
+		? askedAt + registryLongPollMs
 		: askedAt;
--- a/src/registry/registry-history.ts
+++ b/src/registry/registry-history.ts
@@ -18,7 +18,7 @@
 /**
 Changes kept for other nodes.
 */
-export const keptChanges = 400;
+export const maximumHistoryChanges = 400;
 
 /**
 Builds an empty history.
@@ -30,7 +30,7 @@
 	return {
 		add(item) {
 			items.push(item);
-			if (items.length > keptChanges) {
+			if (items.length > maximumHistoryChanges) {
 				from = Math.max(from, items.shift()!.revision);
 			}
 		},
--- a/src/registry/registry-mirror.ts
+++ b/src/registry/registry-mirror.ts
@@ -1,13 +1,13 @@
 import type {RouteTable} from '../routes/index.ts';
 import type {MirrorChange, RegistryRestored} from './mirror-change.ts';
 import {createMirrorState, isSuperseded} from './mirror-state.ts';
-import {takeLasting, takeProvisional} from './older-statements.ts';
+import {applyMonotonic, applyProvisional} from './stale-items.ts';
 import {outgoingItem, outgoingItems} from './outgoing-items.ts';
 import type {
 	RegistryAnswer,
 	RegistryItem,
 	RegistrySnapshot,
-	TakenAnswer,
+	RegistryUpdate,
 } from './registry-entry.ts';
 import {createRegistryHistory} from './registry-history.ts';
 import {
@@ -17,7 +17,7 @@
 } from './registry-position.ts';
 import type {KnownServer} from './registry-servers.ts';
 import type {RegistryStamp} from './registry-stamp.ts';
-import {takeCopy} from './restored-copy.ts';
+import {applyRestoredCopy} from './restored-copy.ts';
 
 /**
 Who gave an answer.
@@ -33,7 +33,7 @@
 	counts: later versions of the routes, and shutdowns.
 	*/
 	apply(
-		answer: TakenAnswer,
+		answer: RegistryUpdate,
 		now: number,
 		origin: AnswerOrigin,
 	): readonly MirrorChange[];
@@ -47,7 +47,7 @@
 
 	@param life Names the life of the server.
 	*/
-	leavingAnnounced(id: string, life: string): readonly MirrorChange[];
+	recordShutdown(id: string, life: string): readonly MirrorChange[];
 	/**
 	States that the source failed, so that entries missing afterwards may have lapsed meanwhile.
 	*/
@@ -114,7 +114,7 @@
 		origin: AnswerOrigin,
 	): readonly MirrorChange[] => {
 		if (read.provisionalMs !== undefined) {
-			return takeProvisional(state, read, read.provisionalMs, now);
+			return applyProvisional(state, read, read.provisionalMs, now);
 		}
 
 		const item =
@@ -127,7 +127,7 @@
 			removedAt.get(item.key) ?? 0,
 		);
 		if (item.revision <= floor || isSuperseded(item, current)) {
-			return takeLasting(state, item, false);
+			return applyMonotonic(state, item, false);
 		}
 
 		history.add(item);
@@ -136,7 +136,7 @@
 			removedAt.set(item.key, item.revision);
 			return current
 				? removed(current, item.canBeLapse ?? false, now)
-				: evacuations.removeKept(item.key);
+				: evacuations.removeRetained(item.key);
 		}
 
 		rows.set(item.key, item);
@@ -150,16 +150,16 @@
 	): readonly MirrorChange[] => {
 		switch (value?.kind) {
 			case 'server': {
-				return servers.take(value.server, now);
+				return servers.register(value.server, now);
 			}
 
 			case 'routes': {
-				routes.written();
+				routes.markRewritten();
 				return routes.register(key, value.document);
 			}
 
 			case 'evacuation': {
-				return evacuations.take(value.availabilityZone);
+				return evacuations.register(value.availabilityZone);
 			}
 
 			case 'unreadable': {
@@ -231,11 +231,11 @@
 		history.restart(revision);
 		removedAt.clear();
 		if (from.revision === 0) {
-			return takeCopy(state, copy, now).changes;
+			return applyRestoredCopy(state, copy, now).changes;
 		}
 
-		routes.restored(now);
-		const {changes, lacking} = takeCopy(state, copy, now);
+		routes.markRestored(now);
+		const {changes, lacking} = applyRestoredCopy(state, copy, now);
 		const restored: RegistryRestored = {
 			kind: 'restored',
 			from,
@@ -244,7 +244,7 @@
 			copiedRoutesVersion: routes.registeredVersion(),
 			lacking,
 			heldBack: servers.heldBack(),
-			evacuationsKept: evacuations.kept(now).length,
+			evacuationsKept: evacuations.retained(now).length,
 		};
 		return [restored, ...changes];
 	};
@@ -282,15 +282,15 @@
 
 			if (answerEra !== era) {
 				return answer.items.flatMap((item) =>
-					takeLasting(state, item, answerEra < era),
+					applyMonotonic(state, item, answerEra < era),
 				);
 			}
 
 			if (isWhole && answer.revision < revision) {
 				return answer.items.flatMap((item) =>
 					item.provisionalMs === undefined
-						? takeLasting(state, item, false)
-						: takeProvisional(state, item, item.provisionalMs, now),
+						? applyMonotonic(state, item, false)
+						: applyProvisional(state, item, item.provisionalMs, now),
 				);
 			}
 
@@ -301,7 +301,7 @@
 			return changes;
 		},
 		expire: (now) => [...servers.expire(now), ...evacuations.expire(now)],
-		leavingAnnounced: servers.leavingAnnounced,
+		recordShutdown: servers.recordShutdown,
 		sourceFailed(now) {
 			failedAt = now;
 		},
@@ -314,10 +314,10 @@
 			era,
 			revision,
 			routesVersion: routes.version(),
-			isBeyondRegistry:
-				servers.isBeyondRegistry() ||
-				evacuations.hasKept() ||
-				routes.isBeyondRegistry(),
+			isAheadOfRegistry:
+				servers.isAheadOfRegistry() ||
+				evacuations.hasRetained() ||
+				routes.isAheadOfRegistry(),
 		}),
 		mayLackRoutes: routes.mayLack,
 		routes: routes.table,
--- a/src/registry/registry-relay.ts
+++ b/src/registry/registry-relay.ts
@@ -1,4 +1,4 @@
-import {createHeldCalls} from '../shared/index.ts';
+import {createLongPollWaiters} from '../shared/index.ts';
 import type {RegistryAnswer} from './registry-entry.ts';
 import type {RegistryMirror} from './registry-mirror.ts';
 import type {RegistryCursor} from './registry-position.ts';
@@ -45,7 +45,7 @@
 How long a question is held at the most, in milliseconds. Longer than this node's own question to
 the registry is, so that the answer usually follows upon a confirmation.
 */
-export const relayWaitMs = 1900;
+export const relayLongPollMs = 1900;
 
 /**
 Builds a relay that holds nothing.
@@ -54,7 +54,7 @@
 	options: RegistryRelayOptions,
 ): RegistryRelay => {
 	const {mirror, clock, confirmedAt, isReading} = options;
-	const held = createHeldCalls();
+	const held = createLongPollWaiters();
 
 	const eraOf = (after: RegistryCursor) => after.era ?? mirror.position().era;
 
@@ -84,7 +84,7 @@
 				eraOf(after) === own.era &&
 				after.revision >= own.revision
 			) {
-				await held.wait(relayWaitMs);
+				await held.wait(relayLongPollMs);
 			}
 
 			return answerNow(after);
--- a/src/registry/registry-routes.ts
+++ b/src/registry/registry-routes.ts
@@ -21,11 +21,11 @@
 	/**
 	The registry came back from an older copy, whose routes are registered next.
 	*/
-	restored(now: number): void;
+	markRestored(now: number): void;
 	/**
 	The routes were written since then.
 	*/
-	written(): void;
+	markRewritten(): void;
 	table(): RouteTable | undefined;
 	version(): number;
 	/**
@@ -35,7 +35,7 @@
 	/**
 	Whether those in force are later than what the registry holds.
 	*/
-	isBeyondRegistry(): boolean;
+	isAheadOfRegistry(): boolean;
 	/**
 	Whether routes may exist that the registry has lost and nobody has written again yet.
 	*/
@@ -80,17 +80,17 @@
 			return offer(key, document);
 		},
 		offer,
-		restored(now) {
+		markRestored(now) {
 			registeredVersion = 0;
 			mayLackUntil = now + rewriteGraceMs;
 		},
-		written() {
+		markRewritten() {
 			mayLackUntil = -Infinity;
 		},
 		table: () => inForce?.table,
 		version,
 		registeredVersion: () => registeredVersion,
-		isBeyondRegistry: () => version() > registeredVersion,
+		isAheadOfRegistry: () => version() > registeredVersion,
 		mayLack: (now) => now < mayLackUntil,
 		item: () =>
 			inForce && {
--- a/src/registry/registry-servers.ts
+++ b/src/registry/registry-servers.ts
@@ -1,7 +1,7 @@
 import {createBoundedMap, createBoundedSet} from '../shared/index.ts';
 import type {MirrorChange} from './mirror-change.ts';
 import type {RegisteredServer} from './registry-entry.ts';
-import {lifeOf} from './server-life.ts';
+import {incarnationIdOf} from './server-incarnation.ts';
 
 /**
 A backend server as this node knows it.
@@ -18,7 +18,7 @@
 The backend servers that the registry names, and what outlasts their entries.
 */
 export type RegistryServers = {
-	take(entry: RegisteredServer, now: number): readonly MirrorChange[];
+	register(entry: RegisteredServer, now: number): readonly MirrorChange[];
 	/**
 	@param canBeLapse Whether the entry may only have lapsed while the registry was away.
 	*/
@@ -28,7 +28,7 @@
 
 	@param toldMs How much longer another node holds it back, in milliseconds.
 	*/
-	takeFromCopy(
+	registerFromCopy(
 		entry: RegisteredServer,
 		toldMs: number,
 		now: number,
@@ -52,7 +52,7 @@
 	/**
 	Whether anything is known that the registry's copy says otherwise.
 	*/
-	isBeyondRegistry(): boolean;
+	isAheadOfRegistry(): boolean;
 	/**
 	Ends what is limited in time.
 	*/
@@ -60,11 +60,11 @@
 	/**
 	A server announced its shutdown in an answer.
 	*/
-	leavingAnnounced(id: string, life: string): readonly MirrorChange[];
+	recordShutdown(id: string, life: string): readonly MirrorChange[];
 	/**
 	Another node knows that the life of this entry leaves.
 	*/
-	leavingTold(entry: RegisteredServer): readonly MirrorChange[];
+	recordPeerShutdown(entry: RegisteredServer): readonly MirrorChange[];
 	known(): ReadonlyMap<string, KnownServer>;
 	/**
 	An entry as it is passed on to other nodes.
@@ -88,9 +88,9 @@
 Lives of servers whose announced shutdown is remembered; the earliest is forgotten first. A life does not return from its
 shutdown, so nothing else ends the memory.
 */
-export const maximumLeavingLives = 2000;
+export const maximumLeavingIncarnations = 2000;
 
-const maximumGoneLives = 2000;
+const maximumRemovedIncarnations = 2000;
 
 type HeldBack = {readonly entry: RegisteredServer; readonly until: number};
 
@@ -98,8 +98,10 @@
 Builds a view of no servers.
 */
 export const createRegistryServers = (): RegistryServers => {
-	const announced = createBoundedSet<string>(maximumLeavingLives);
-	const gone = createBoundedMap<string, RegisteredServer>(maximumGoneLives);
+	const announced = createBoundedSet<string>(maximumLeavingIncarnations);
+	const gone = createBoundedMap<string, RegisteredServer>(
+		maximumRemovedIncarnations,
+	);
 	const known = new Map<string, KnownServer>();
 	const lapsed = new Map<string, number>();
 	const held = new Map<string, HeldBack>();
@@ -110,7 +112,7 @@
 		entry: RegisteredServer,
 		now: number,
 	): readonly MirrorChange[] => {
-		const server = announced.has(lifeOf(entry))
+		const server = announced.has(incarnationIdOf(entry))
 			? {...entry, isLeaving: true}
 			: entry;
 		const before = known.get(server.id);
@@ -128,7 +130,7 @@
 	const drop = (id: string): readonly MirrorChange[] => {
 		const current = known.get(id)?.server;
 		if (current) {
-			gone.set(lifeOf(current), current);
+			gone.set(incarnationIdOf(current), current);
 		}
 
 		lapsed.delete(id);
@@ -154,7 +156,9 @@
 
 	const ofLife = (id: string, life: string): KnownServer | undefined => {
 		const current = known.get(id);
-		return current && lifeOf(current.server) === life ? current : undefined;
+		return current && incarnationIdOf(current.server) === life
+			? current
+			: undefined;
 	};
 
 	const leave = (id: string, life: string): readonly MirrorChange[] => {
@@ -172,7 +176,7 @@
 	};
 
 	const isKnownLeaving = (entry: RegisteredServer): boolean =>
-		ofLife(entry.id, lifeOf(entry))?.server.isLeaving ?? false;
+		ofLife(entry.id, incarnationIdOf(entry))?.server.isLeaving ?? false;
 
 	const holdBack = (
 		entry: RegisteredServer,
@@ -187,7 +191,7 @@
 		const until = Math.max(held.get(id)?.until ?? 0, now + remainingMs);
 		held.set(id, {entry, until});
 		lapsed.delete(id);
-		gone.set(lifeOf(entry), entry);
+		gone.set(incarnationIdOf(entry), entry);
 		return known.delete(id) ? [{kind: 'server', id, isUsable: false}] : [];
 	};
 
@@ -206,24 +210,24 @@
 	): readonly MirrorChange[] => {
 		leavingBeyondCopy.add(entry.id);
 		if (entry.startedAt !== undefined) {
-			announced.add(lifeOf(entry));
+			announced.add(incarnationIdOf(entry));
 		}
 
 		return replace({...entry, isLeaving: true}, now);
 	};
 
 	return {
-		take(entry, now) {
+		register(entry, now) {
 			leavingBeyondCopy.delete(entry.id);
 			return put(entry, now);
 		},
 		remove,
-		takeFromCopy(entry, toldMs, now) {
+		registerFromCopy(entry, toldMs, now) {
 			if (entry.isLeaving) {
 				return replace(entry, now);
 			}
 
-			const life = lifeOf(entry);
+			const life = incarnationIdOf(entry);
 			const current = ofLife(entry.id, life)?.server;
 			const last = current ?? gone.get(life);
 			if (last?.isLeaving) {
@@ -241,7 +245,7 @@
 			return server && Math.max(0, server.until - now);
 		},
 		heldBack: () => held.size,
-		isBeyondRegistry: () => held.size > 0 || leavingBeyondCopy.size > 0,
+		isAheadOfRegistry: () => held.size > 0 || leavingBeyondCopy.size > 0,
 		expire: (now) => [
 			...[...lapsed]
 				.filter(([, until]) => until <= now)
@@ -251,12 +255,12 @@
 				.filter(({until}) => until <= now)
 				.flatMap(({entry}) => put(entry, now)),
 		],
-		leavingAnnounced(id, life) {
+		recordShutdown(id, life) {
 			announced.add(life);
 			return leave(id, life);
 		},
-		leavingTold(entry) {
-			const changes = leave(entry.id, lifeOf(entry));
+		recordPeerShutdown(entry) {
+			const changes = leave(entry.id, incarnationIdOf(entry));
 			if (changes.length > 0) {
 				leavingBeyondCopy.add(entry.id);
 			}
@@ -269,7 +273,7 @@
 			...entry,
 			isLeaving:
 				entry.isLeaving ||
-				announced.has(lifeOf(entry)) ||
+				announced.has(incarnationIdOf(entry)) ||
 				isKnownLeaving(entry),
 			coldMs: Math.max(0, (known.get(entry.id)?.coldUntil ?? 0) - now),
 		}),
--- a/src/registry/registry-stamp.ts
+++ b/src/registry/registry-stamp.ts
@@ -12,7 +12,7 @@
 	/**
 	Whether the node holds to statements that the registry lost when it came back from an older copy.
 	*/
-	readonly isBeyondRegistry: boolean;
+	readonly isAheadOfRegistry: boolean;
 };
 
 const digestPattern =
@@ -25,7 +25,7 @@
 	stamp: RegistryStamp,
 ): ConfigurationStamp => ({
 	version: stamp.revision,
-	digest: `${stamp.era ?? 0}.${stamp.routesVersion}.${stamp.isBeyondRegistry ? 1 : 0}`,
+	digest: `${stamp.era ?? 0}.${stamp.routesVersion}.${stamp.isAheadOfRegistry ? 1 : 0}`,
 });
 
 /**
@@ -40,6 +40,6 @@
 		era: parts && Number(parts.era),
 		revision: version,
 		routesVersion: Number(parts?.routes ?? 0),
-		isBeyondRegistry: parts?.beyond === '1',
+		isAheadOfRegistry: parts?.beyond === '1',
 	};
 };
--- a/src/registry/restored-copy.ts
+++ b/src/registry/restored-copy.ts
@@ -9,14 +9,14 @@
 */
 import type {MirrorChange} from './mirror-change.ts';
 import {isSuperseded, type MirrorState} from './mirror-state.ts';
-import {takeProvisional} from './older-statements.ts';
-import {keptEvacuationMs} from './registry-evacuations.ts';
+import {applyProvisional} from './stale-items.ts';
+import {evacuationRetentionMs} from './registry-evacuations.ts';
 import type {RegistryItem, RegistrySnapshot} from './registry-entry.ts';
 
 /**
 What became of the entries of a copy.
 */
-export type CopyTaken = {
+export type RestoreResult = {
 	readonly changes: readonly MirrorChange[];
 	/**
 	Entries known before that the copy lacks.
@@ -27,11 +27,11 @@
 /**
 Replaces all entries by those of a copy.
 */
-export const takeCopy = (
+export const applyRestoredCopy = (
 	state: MirrorState,
 	copy: RegistrySnapshot,
 	now: number,
-): CopyTaken => {
+): RestoreResult => {
 	const {rows} = state;
 	const before = new Map(rows);
 	rows.clear();
@@ -61,7 +61,7 @@
 	const {rows, routes, servers, evacuations} = state;
 	const {key, value, provisionalMs} = item;
 	if (provisionalMs !== undefined && value?.kind === 'evacuation') {
-		return takeProvisional(state, item, provisionalMs, now);
+		return applyProvisional(state, item, provisionalMs, now);
 	}
 
 	// Any later statement counts, whatever its revision.
@@ -75,7 +75,7 @@
 	rows.set(key, item);
 	switch (value?.kind) {
 		case 'server': {
-			return servers.takeFromCopy(value.server, provisionalMs ?? 0, now);
+			return servers.registerFromCopy(value.server, provisionalMs ?? 0, now);
 		}
 
 		case 'routes': {
@@ -83,7 +83,7 @@
 		}
 
 		case 'evacuation': {
-			return evacuations.take(value.availabilityZone);
+			return evacuations.register(value.availabilityZone);
 		}
 
 		case 'unreadable': {
@@ -110,8 +110,8 @@
 
 		case 'evacuation': {
 			const {availabilityZone} = value;
-			return evacuations.keep(
-				{key, availabilityZone, remainingMs: keptEvacuationMs},
+			return evacuations.retain(
+				{key, availabilityZone, remainingMs: evacuationRetentionMs},
 				now,
 			);
 		}
--- a/src/registry/older-statements.ts
+++ b/src/registry/stale-items.ts
@@ -9,7 +9,7 @@
 Takes what never goes back: later versions of the routes, and the shutdown of a server. The latter only while its entry is the one
 that the shutdown belongs to, or has not been written since the registry came back from an older copy.
 */
-export const takeLasting = (
+export const applyMonotonic = (
 	{rows, routes, servers, copyRevision}: MirrorState,
 	{key, revision, value}: RegistryItem,
 	isOfEarlierEra: boolean,
@@ -25,7 +25,7 @@
 				? known <= copyRevision
 				: known === revision;
 			return isOfSameEntry && value.server.isLeaving
-				? servers.leavingTold(value.server)
+				? servers.recordPeerShutdown(value.server)
 				: [];
 		}
 
@@ -40,7 +40,7 @@
 /**
 Takes what another node keeps or holds back beyond the registry, unless it has been written again.
 */
-export const takeProvisional = (
+export const applyProvisional = (
 	{rows, servers, evacuations, copyRevision}: MirrorState,
 	{key, value}: RegistryItem,
 	remainingMs: number,
@@ -56,7 +56,7 @@
 			const {availabilityZone} = value;
 			return row
 				? []
-				: evacuations.keep({key, availabilityZone, remainingMs}, now);
+				: evacuations.retain({key, availabilityZone, remainingMs}, now);
 		}
 
 		case 'server': {
--- a/src/reporting/burn.ts
+++ b/src/reporting/burn.ts
@@ -42,17 +42,17 @@
 /**
 Windows over which burn is worked out, in minutes.
 */
-export const burnWindows = [5, 60, 360] as const;
+export const burnWindowMinutes = [5, 60, 360] as const;
 
 /**
 Burn at which a short and a middle window together mean a fast burn.
 */
-export const fastBurn = 14;
+export const fastBurnRate = 14;
 
 /**
 Burn at which the long window means a slow burn.
 */
-export const slowBurn = 3;
+export const slowBurnRate = 3;
 
 type Bucket = {readonly minute: number; good: number; bad: number};
 
@@ -73,7 +73,7 @@
 		}
 
 		const bucket = {minute, good: 0, bad: 0};
-		const oldest = minute - burnWindows.at(-1)!;
+		const oldest = minute - burnWindowMinutes.at(-1)!;
 		buckets.set(objective, [
 			...list.filter((known) => known.minute > oldest),
 			bucket,
@@ -106,7 +106,7 @@
 		},
 		report: (objectives, now) =>
 			objectives.map((objective) => {
-				const windows = burnWindows.map((minutes) =>
+				const windows = burnWindowMinutes.map((minutes) =>
 					windowOf(objective, minutes, now),
 				);
 				return {
@@ -138,11 +138,11 @@
 	windows: ReadonlyArray<{readonly burn: number}>,
 ): BurnReport['verdict'] => {
 	const [short, middle, long] = windows;
-	if (short!.burn >= fastBurn && middle!.burn >= fastBurn) {
+	if (short!.burn >= fastBurnRate && middle!.burn >= fastBurnRate) {
 		return 'fast-burn';
 	}
 
-	return middle!.burn >= slowBurn && long!.burn >= slowBurn
+	return middle!.burn >= slowBurnRate && long!.burn >= slowBurnRate
 		? 'slow-burn'
 		: 'ok';
 };
--- a/src/requests/attempt-answers.ts
+++ b/src/requests/attempt-answers.ts
@@ -12,7 +12,9 @@
 /**
 Reads a whole body within its bound.
 */
-export const collect = async (body: AsyncIterable<Buffer>): Promise<Buffer> => {
+export const collectBody = async (
+	body: AsyncIterable<Buffer>,
+): Promise<Buffer> => {
 	const chunks: Buffer[] = [];
 	let length = 0;
 	for await (const chunk of body) {
@@ -105,7 +107,7 @@
 /**
 Whether an engine answered that it failed; a plain service's answer is its own affair.
 */
-export const isServerFault = (
+export const isServerError = (
 	request: GatewayRequest,
 	upstream: UpstreamAnswer,
 ): boolean =>
--- a/src/requests/attempt-outcomes.ts
+++ b/src/requests/attempt-outcomes.ts
@@ -15,7 +15,7 @@
 /**
 The graver of two outcomes: what may have happened over both attempts.
 */
-export const gravest = (left: Outcome, right: Outcome): Outcome =>
+export const worstOutcome = (left: Outcome, right: Outcome): Outcome =>
 	outcomeRank[right] > outcomeRank[left] ? right : left;
 
 /**
@@ -26,13 +26,13 @@
 	outcome: Outcome,
 ): GatewayError => ({
 	...error,
-	outcome: gravest(outcome, error.outcome),
+	outcome: worstOutcome(outcome, error.outcome),
 });
 
 /**
 Every slot is taken.
 */
-export const busy = (retryAfterSeconds: number): GatewayError =>
+export const overloadedError = (retryAfterSeconds: number): GatewayError =>
 	createGatewayError(
 		'overloaded',
 		'Every slot that could serve the request is taken; come back later',
@@ -44,7 +44,7 @@
 /**
 The answer to an attempt did not arrive whole, or was not its own.
 */
-export const brokenBody = (error: Error): AttemptFailure => ({
+export const brokenAnswerFailure = (error: Error): AttemptFailure => ({
 	outcome: 'unknown',
 	isStated: false,
 	error: createGatewayError(
@@ -56,7 +56,7 @@
 /**
 The backend server answered that it failed.
 */
-export const serverFault = (status: number): AttemptFailure => ({
+export const serverErrorFailure = (status: number): AttemptFailure => ({
 	outcome: 'unknown',
 	isStated: true,
 	error: createGatewayError(
@@ -68,7 +68,7 @@
 /**
 How a failure is entered in the fleet's books.
 */
-export const endOf = (
+export const attemptEndOf = (
 	failure: AttemptFailure,
 	isCanceled: boolean,
 ): AttemptEnd => {
--- a/src/requests/attempt.ts
+++ b/src/requests/attempt.ts
@@ -7,14 +7,17 @@
 /**
 A target that an attempt can be made at.
 */
-export type Chosen = Extract<TargetChoice, {kind: 'backend-server' | 'peer'}>;
+export type AttemptTarget = Extract<
+	TargetChoice,
+	{kind: 'backend-server' | 'peer'}
+>;
 
 /**
 An attempt whose answer has begun.
 */
 export type OpenAttempt = {
 	readonly attemptId: string;
-	readonly target: Chosen;
+	readonly target: AttemptTarget;
 	readonly upstream: UpstreamAnswer;
 	readonly startedAt: number;
 	readonly abort: AbortController;
@@ -30,7 +33,7 @@
 export type AttemptPlan = {
 	readonly request: GatewayRequest;
 	readonly progress: Progress;
-	readonly target: Chosen;
+	readonly target: AttemptTarget;
 	readonly attemptId: string;
 	readonly resumeFrom: number;
 };
@@ -51,5 +54,5 @@
 /**
 The id of the server or node that an attempt goes to.
 */
-export const targetId = (target: Chosen): string =>
+export const targetId = (target: AttemptTarget): string =>
 	target.kind === 'peer' ? target.member.id : target.server.id;
--- a/src/requests/attempts.ts
+++ b/src/requests/attempts.ts
@@ -6,27 +6,35 @@
 import type {AttemptEnd, Fleet} from '../fleet/index.ts';
 import type {Logger} from '../logging/index.ts';
 import type {PeerCalls} from '../peers/index.ts';
-import {settleMs} from '../quarantine/index.ts';
+import {crashReportWindowMs} from '../quarantine/index.ts';
 import {
 	decideRetry,
 	type AttemptFailure,
 	type RetryBudget,
 } from '../retries/index.ts';
 import {backendCall, forwardCall} from './attempt-calls.ts';
-import {busy, endOf, gravest, withOutcome} from './attempt-outcomes.ts';
+import {
+	overloadedError,
+	attemptEndOf,
+	worstOutcome,
+	withOutcome,
+} from './attempt-outcomes.ts';
 import {
 	targetId,
 	type AttemptPlan,
-	type Chosen,
+	type AttemptTarget,
 	type OpenAttempt,
 	type Progress,
 } from './attempt.ts';
-import type {CapacityWait} from './capacity-wait.ts';
+import type {CapacityQueue} from './capacity-queue.ts';
 import type {TargetChooser} from './target-choice.ts';
 import type {GatewayRequest} from './gateway-request.ts';
 import type {RequestLimits} from './request-limits.ts';
 import type {RequestStatements} from './request-statements.ts';
-import {inQuarantine, type RequestQuarantine} from './request-quarantine.ts';
+import {
+	quarantinedError,
+	type RequestQuarantine,
+} from './request-quarantine.ts';
 
 /**
 What attempts are made with.
@@ -38,16 +46,16 @@
 	readonly engines: EngineClient;
 	readonly peers: PeerCalls;
 	readonly budget: RetryBudget;
-	readonly capacity: CapacityWait;
+	readonly capacity: CapacityQueue;
 	readonly quarantine: RequestQuarantine;
-	readonly limits: Pick<RequestLimits, 'sent'>;
-	readonly statements: Pick<RequestStatements, 'answered'>;
+	readonly limits: Pick<RequestLimits, 'recordSent'>;
+	readonly statements: Pick<RequestStatements, 'recordAnswer'>;
 	readonly issueAttemptId: () => string;
 
 	/**
 	Resolves at once, or after a pause of the process once the node is up to date again.
 	*/
-	readonly caughtUp: () => Promise<void>;
+	readonly waitUntilUpToDate: () => Promise<void>;
 	/**
 	Whether the node knows what happened up to now; false after a pause until it has caught up.
 	*/
@@ -73,7 +81,7 @@
 	acquire(
 		request: GatewayRequest,
 		progress: Progress,
-	): Promise<Result<Chosen, GatewayError>>;
+	): Promise<Result<AttemptTarget, GatewayError>>;
 	/**
 	Makes one attempt.
 	*/
@@ -81,7 +89,7 @@
 	/**
 	Enters a failure; an error means that the request is given up.
 	*/
-	judge(
+	handleFailure(
 		request: GatewayRequest,
 		progress: Progress,
 		failure: AttemptFailure,
@@ -141,7 +149,12 @@
 			}
 
 			progress.excluded.add(targetId(target.value));
-			const verdict = judge(request, progress, attempt.error, resumeFrom > 0);
+			const verdict = handleFailure(
+				request,
+				progress,
+				attempt.error,
+				resumeFrom > 0,
+			);
 			if (verdict.isErr) {
 				return Result.err(verdict.error);
 			}
@@ -151,10 +164,10 @@
 	const acquire = async (
 		request: GatewayRequest,
 		progress: Progress,
-	): Promise<Result<Chosen, GatewayError>> => {
+	): Promise<Result<AttemptTarget, GatewayError>> => {
 		for (;;) {
 			// Nothing leaves on what was known before a pause, not even a later attempt.
-			await options.caughtUp();
+			await options.waitUntilUpToDate();
 			if (request.signal.aborted) {
 				return Result.err(
 					createGatewayError('canceled', 'The caller has gone'),
@@ -172,13 +185,13 @@
 				);
 			}
 
-			const standing = options.quarantine.standing(request);
+			const standing = options.quarantine.statusOf(request);
 			if (standing.kind === 'quarantined') {
-				return Result.err(inQuarantine(standing.until - now));
+				return Result.err(quarantinedError(standing.until - now));
 			}
 
 			if (standing.kind === 'pending') {
-				await sleep(settleMs / 2);
+				await sleep(crashReportWindowMs / 2);
 				continue;
 			}
 
@@ -194,8 +207,10 @@
 				}
 
 				case 'busy': {
-					if (choice.restLeftMs !== undefined) {
-						return Result.err(busy(choice.restLeftMs / 1000));
+					if (choice.backoffRemainingMs !== undefined) {
+						return Result.err(
+							overloadedError(choice.backoffRemainingMs / 1000),
+						);
 					}
 
 					// A receiver does not queue: the origin may know of a better place. Nor is there anything to wait for
@@ -205,7 +220,9 @@
 						? 'full'
 						: await options.capacity.wait(request);
 					if (wait !== 'ready') {
-						return Result.err(busy(options.capacity.retryAfterSeconds()));
+						return Result.err(
+							overloadedError(options.capacity.retryAfterSeconds()),
+						);
 					}
 				}
 			}
@@ -230,11 +247,11 @@
 		const id = target.kind === 'backend-server' ? target.server.id : undefined;
 		const place =
 			target.kind === 'backend-server'
-				? options.quarantine.placeOf(target.server, startedAt)
+				? options.quarantine.incarnationOf(target.server, startedAt)
 				: undefined;
 		const finish = createFinish(id, (end) => {
 			request.signal.removeEventListener('abort', onGone);
-			options.quarantine.ended(request, place, end);
+			options.quarantine.recordEnd(request, place, end);
 		});
 		if (id !== undefined) {
 			fleet.handle({kind: 'attempt-started', backendServer: id}, startedAt);
@@ -243,7 +260,7 @@
 		const sent = await sendCounted(plan, abort.signal, startedAt);
 		clearTimeout(timer);
 		if (sent.isErr) {
-			finish(endOf(sent.error, request.signal.aborted));
+			finish(attemptEndOf(sent.error, request.signal.aborted));
 			options.logger.debug(
 				{
 					requestId: request.requestId,
@@ -310,7 +327,7 @@
 			return send(plan, signal);
 		}
 
-		options.limits.sent(target.server, startedAt);
+		options.limits.recordSent(target.server, startedAt);
 		return send(plan, signal);
 	};
 
@@ -326,7 +343,12 @@
 				const call = backendCall(plan, signal, {
 					canBegin: () => canReceive(server),
 					onHead(head) {
-						options.statements.answered(server, plan.attemptId, head, sentAt);
+						options.statements.recordAnswer(
+							server,
+							plan.attemptId,
+							head,
+							sentAt,
+						);
 					},
 				});
 				return options.engines.send(
@@ -358,15 +380,15 @@
 	const canReceive = ({id}: Pick<BackendServer, 'id'>): boolean =>
 		options.isUpToDate() &&
 		!fleet.isLeaving(id) &&
-		fleet.restLeftMs(id, clock()) === 0;
+		fleet.backoffRemainingMs(id, clock()) === 0;
 
-	const judge = (
+	const handleFailure = (
 		request: GatewayRequest,
 		progress: Progress,
 		failure: AttemptFailure,
 		hasDelivered: boolean,
 	): Result<true, GatewayError> => {
-		progress.outcome = gravest(progress.outcome, failure.outcome);
+		progress.outcome = worstOutcome(progress.outcome, failure.outcome);
 		if (request.signal.aborted) {
 			return Result.err(
 				createGatewayError('canceled', 'The caller has gone', {
@@ -406,5 +428,11 @@
 		);
 	};
 
-	return {open, acquire, begin, judge, observeFirstToken};
+	return {
+		open,
+		acquire,
+		begin,
+		handleFailure,
+		observeFirstToken,
+	};
 };
--- a/src/requests/capacity-wait.ts
+++ b/src/requests/capacity-queue.ts
@@ -1,16 +1,16 @@
-import {createWaitingLine} from '../limits/index.ts';
+import {createWaitQueue} from '../limits/index.ts';
 import type {GatewayRequest} from './gateway-request.ts';
 
 /**
 How a wait for a free slot ended.
 */
-export type WaitEnd = 'ready' | 'expired' | 'full';
+export type QueueResult = 'ready' | 'expired' | 'full';
 
 /**
 Lets requests wait a short while for a free slot.
 */
-export type CapacityWait = {
-	wait(request: GatewayRequest): Promise<WaitEnd>;
+export type CapacityQueue = {
+	wait(request: GatewayRequest): Promise<QueueResult>;
 	/**
 	Says that a slot may have become free.
 	*/
@@ -29,27 +29,27 @@
 /**
 What a wait is built from.
 */
-export type CapacityWaitOptions = {
+export type CapacityQueueOptions = {
 	readonly clock: () => number;
 	readonly maximumWaiting: number;
 	readonly maximumWaitMs: number;
 };
 
-type Ticket = {readonly settle: (end: WaitEnd) => void};
+type Ticket = {readonly settle: (end: QueueResult) => void};
 
 /**
 Builds an empty line of waiting requests.
 */
-export const createCapacityWait = (
-	options: CapacityWaitOptions,
-): CapacityWait => {
-	const line = createWaitingLine<Ticket>(options.maximumWaiting);
+export const createCapacityQueue = (
+	options: CapacityQueueOptions,
+): CapacityQueue => {
+	const line = createWaitQueue<Ticket>(options.maximumWaiting);
 
 	return {
 		async wait(request) {
 			return new Promise((resolve) => {
 				const ticket: Ticket = {settle: resolve};
-				const verdict = line.join({
+				const verdict = line.enqueue({
 					item: ticket,
 					priority: request.priority,
 					deadline: Math.min(
--- a/src/requests/choose-target.ts
+++ b/src/requests/choose-target.ts
@@ -17,8 +17,8 @@
 	type ZoneCandidate,
 } from '../routing/index.ts';
 import type {GatewayRequest} from './gateway-request.ts';
-import {createZoneJudge} from './judge-zone.ts';
-import {noneLeft, whyNone} from './no-target.ts';
+import {createZoneEvaluator} from './evaluate-zone.ts';
+import {noCandidateError, noZoneError} from './no-candidate-error.ts';
 import type {
 	ChooserOptions,
 	TargetChoice,
@@ -34,7 +34,7 @@
 */
 export const createTargetChooser = (options: ChooserOptions): TargetChooser => {
 	const {fleet, limits, random} = options;
-	const judgeZone = createZoneJudge(options);
+	const judgeZone = createZoneEvaluator(options);
 	let eligibility:
 		| {readonly configuration: Configuration; readonly look: Eligibility}
 		| undefined;
@@ -82,8 +82,8 @@
 		const capacity = fleet.capacity(servers, now);
 		const pool: CandidatePool = {
 			servers,
-			judge: (candidate) =>
-				limits.hasRoom(candidate, now)
+			candidateFor: (candidate) =>
+				limits.canSend(candidate, now)
 					? fleet.candidate(candidate.id, now)
 					: undefined,
 			meanUtilization: utilization(capacity),
@@ -103,7 +103,9 @@
 			? {kind: 'busy', ...ratesOf(servers, now)}
 			: {
 					kind: 'none',
-					error: noneLeft('every backend server there is leaving or failing'),
+					error: noCandidateError(
+						'every backend server there is leaving or failing',
+					),
 				};
 	};
 
@@ -118,7 +120,7 @@
 		);
 		const rests = (own?.backendServers ?? [])
 			.filter(({id}) => !excluded.has(id))
-			.map(({id}) => fleet.restLeftMs(id, now))
+			.map(({id}) => fleet.backoffRemainingMs(id, now))
 			.filter((leftMs) => leftMs > 0);
 		return rests.length === 0 ? undefined : Math.min(...rests);
 	};
@@ -141,7 +143,7 @@
 		zones: readonly ZoneCandidate[],
 	): ZoneCandidate | undefined => {
 		const {strategy} = request.policy;
-		const home = zones.find(({isOwn, isHome}) => isOwn && isHome);
+		const home = zones.find(({isLocal, isHome}) => isLocal && isHome);
 		const overflowAtLoad =
 			strategy.kind === 'home-first'
 				? strategy.overflowAtLoad
@@ -179,7 +181,7 @@
 			if (eligible.length === 0) {
 				return {
 					kind: 'none',
-					error: noneLeft(
+					error: noCandidateError(
 						`policy "${request.policy.name}" leaves no backend server`,
 					),
 				};
@@ -198,18 +200,20 @@
 				.map((zone) => judgeZone(zone, request, configuration, now))
 				.filter(({slots}) => slots > 0);
 			const chosen = pickZone(request, zones);
-			const restLeftMs = chosen ? undefined : restLeftIn(reachable, tried, now);
-			if (restLeftMs !== undefined) {
-				return {kind: 'busy', restLeftMs};
+			const backoffRemainingMs = chosen
+				? undefined
+				: restLeftIn(reachable, tried, now);
+			if (backoffRemainingMs !== undefined) {
+				return {kind: 'busy', backoffRemainingMs};
 			}
 
 			if (!chosen) {
-				return {kind: 'none', error: whyNone(request, regions.size)};
+				return {kind: 'none', error: noZoneError(request, regions.size)};
 			}
 
 			countAway(!chosen.isHome);
 			const permission = regions.get(chosen.region)!;
-			if (chosen.isOwn) {
+			if (chosen.isLocal) {
 				const zone = reachable.find(
 					({availabilityZone}) => availabilityZone === chosen.availabilityZone,
 				)!;
--- a/src/requests/judge-zone.ts
+++ b/src/requests/evaluate-zone.ts
@@ -12,7 +12,7 @@
 /**
 Says what a zone would cost a request.
 */
-export type ZoneJudge = (
+export type ZoneEvaluator = (
 	zone: EligibleZone,
 	request: GatewayRequest,
 	configuration: Configuration,
@@ -22,26 +22,26 @@
 /**
 Builds a judge that goes by this node's own figures, and by what was heard of other zones.
 */
-export const createZoneJudge =
+export const createZoneEvaluator =
 	(
 		options: Pick<ChooserOptions, 'availabilityZone' | 'fleet' | 'summaryOf'>,
-	): ZoneJudge =>
+	): ZoneEvaluator =>
 	(zone, request, configuration, now) => {
-		const isOwn = zone.availabilityZone === options.availabilityZone;
+		const isLocal = zone.availabilityZone === options.availabilityZone;
 		const isHome = zone.region === request.homeRegion;
-		const heard = isOwn
+		const heard = isLocal
 			? undefined
 			: options.summaryOf(zone.availabilityZone, request.service.name, now);
-		const figures = isOwn
+		const figures = isLocal
 			? options.fleet.capacity(zone.backendServers, now)
 			: (heard ?? priorOf(zone, configuration));
-		const trust = isOwn
+		const trust = isLocal
 			? 1
 			: Math.exp(-(heard?.ageMs ?? Infinity) / summaryDecay);
 		return {
 			availabilityZone: zone.availabilityZone,
 			region: zone.region,
-			isOwn,
+			isLocal,
 			isHome,
 			load: figures.load,
 			slots: figures.slots,
--- a/src/requests/filters/identify.ts
+++ b/src/requests/filters/identify.ts
@@ -20,7 +20,7 @@
 /**
 Finds the client account, or answers `unauthenticated`.
 */
-export const identify: Filter<ReadyRequest, IdentifiedRequest> = async (
+export const identifyFilter: Filter<ReadyRequest, IdentifiedRequest> = async (
 	ready,
 	next,
 ) => {
--- a/src/requests/filters/limit.ts
+++ b/src/requests/filters/limit.ts
@@ -7,7 +7,7 @@
 /**
 Holds a client to its limit; a request beyond it is answered at once.
 */
-export const createLimit =
+export const createLimitFilter =
 	(
 		limits: ClientLimits,
 		clock: () => number,
--- a/src/requests/filters/read.ts
+++ b/src/requests/filters/parse.ts
@@ -1,35 +1,37 @@
 import {refuse} from '../answer.ts';
 import type {Filter} from '../filter-chain.ts';
-import type {ReadRequest} from '../gateway-request.ts';
-import {readRequest} from '../read-request.ts';
+import type {ParsedRequest} from '../gateway-request.ts';
+import {parseRequest} from '../parse-request.ts';
 import type {IdentifiedRequest} from './identify.ts';
 
 /**
 A request that was read, with its configuration.
 */
-export type CheckedRequest = IdentifiedRequest & {
-	readonly request: ReadRequest;
+export type RequestWithConfiguration = IdentifiedRequest & {
+	readonly request: ParsedRequest;
 };
 
 /**
 What the filter is built from.
 */
-export type ReadOptions = {
+export type ParseFilterOptions = {
 	readonly clock: () => number;
-	readonly ownRegion: () => string;
+	readonly localRegion: () => string;
 	readonly issueId: () => string;
 };
 
 /**
 Reads and checks what the request states.
 */
-export const createRead =
-	(options: ReadOptions): Filter<IdentifiedRequest, CheckedRequest> =>
+export const createParseFilter =
+	(
+		options: ParseFilterOptions,
+	): Filter<IdentifiedRequest, RequestWithConfiguration> =>
 	async (identified, next) => {
-		const request = readRequest(identified.incoming, {
+		const request = parseRequest(identified.incoming, {
 			configuration: identified.parsed.configuration,
 			client: identified.client,
-			ownRegion: options.ownRegion(),
+			localRegion: options.localRegion(),
 			now: options.clock(),
 			issueId: options.issueId,
 		});
--- a/src/requests/filters/permit.ts
+++ b/src/requests/filters/permit.ts
@@ -3,21 +3,24 @@
 import {refuse, type Answer} from '../answer.ts';
 import type {Filter} from '../filter-chain.ts';
 import type {GatewayRequest} from '../gateway-request.ts';
-import {keepAnswer, type KeptAnswer} from '../kept-answer.ts';
-import type {PermitHolder, Permits} from '../permits.ts';
+import {
+	createReplayableAnswer,
+	type ReplayableAnswer,
+} from '../replayable-answer.ts';
+import type {PermitIssuer, Permits} from '../permits.ts';
 
 /**
 What the filter is built from.
 */
 export type PermitFilterOptions = {
-	readonly permits: Permits<KeptAnswer>;
+	readonly permits: Permits<ReplayableAnswer>;
 	readonly clock: () => number;
 	/**
 	Asks the node that issued an id; left out where the request itself came from a node.
 	*/
-	readonly askHolder?: (
+	readonly askIssuer?: (
 		request: GatewayRequest,
-		holder: PermitHolder,
+		holder: PermitIssuer,
 	) => Promise<Answer>;
 	/**
 	Counts requests that go on after their caller has gone.
@@ -49,9 +52,9 @@
 			}
 
 			case 'repeat': {
-				const {kept} = redemption.record;
-				return kept
-					? kept.read()
+				const {answer} = redemption.record;
+				return answer
+					? answer.read()
 					: refuse(
 							createGatewayError(
 								'answer-not-kept',
@@ -70,8 +73,8 @@
 			}
 
 			case 'elsewhere': {
-				return options.askHolder
-					? options.askHolder(request, redemption.holder)
+				return options.askIssuer
+					? options.askIssuer(request, redemption.holder)
 					: refuse(
 							createGatewayError(
 								'hop-refused',
@@ -97,19 +100,19 @@
 ): Promise<Answer> => {
 	const {requestId} = request;
 	options.track(true);
-	const kept = keepAnswer(
+	const answer = createReplayableAnswer(
 		async () => next({...request, signal: new AbortController().signal}),
 		(outcome) => {
 			options.permits.end(
 				requestId,
 				outcome,
-				outcome === 'not-run' ? undefined : kept,
+				outcome === 'not-run' ? undefined : answer,
 			);
 			options.track(false);
 		},
 	);
-	options.permits.attach(requestId, kept);
-	return kept.read();
+	options.permits.attach(requestId, answer);
+	return answer.read();
 };
 
 const unknownUse = (): GatewayError =>
--- a/src/requests/filters/match.ts
+++ b/src/requests/filters/policy.ts
@@ -4,14 +4,14 @@
 import {refuse} from '../answer.ts';
 import type {Filter} from '../filter-chain.ts';
 import type {GatewayRequest} from '../gateway-request.ts';
-import type {CheckedRequest} from './read.ts';
+import type {RequestWithConfiguration} from './parse.ts';
 
 /**
 Finds the policy that applies.
 */
-export const createMatch = (
+export const createPolicyFilter = (
 	wallClock: () => number,
-): Filter<CheckedRequest, GatewayRequest> => {
+): Filter<RequestWithConfiguration, GatewayRequest> => {
 	let ordered:
 		| {
 				readonly configuration: Configuration;
--- a/src/requests/filters/account.ts
+++ b/src/requests/filters/recording.ts
@@ -7,7 +7,7 @@
 /**
 What the filter is built from.
 */
-export type AccountOptions = {
+export type RecordingOptions = {
 	readonly clock: () => number;
 	readonly wallClock: () => number;
 	readonly configuration: () => Configuration | undefined;
@@ -18,8 +18,8 @@
 /**
 Records cost, latency and place of each answer once it has ended.
 */
-export const createAccount = (
-	options: AccountOptions,
+export const createRecordingFilter = (
+	options: RecordingOptions,
 ): Filter<GatewayRequest, GatewayRequest> => {
 	const write = (record: RequestRecord) => {
 		options.recorder.record(record, options.configuration()?.objectives ?? []);
--- a/src/requests/gateway-request.ts
+++ b/src/requests/gateway-request.ts
@@ -6,7 +6,7 @@
 /**
 A request that was read and checked; a policy is still to be matched.
 */
-export type ReadRequest = {
+export type ParsedRequest = {
 	readonly requestId: string;
 	readonly client: Client;
 	readonly service: Service;
@@ -39,4 +39,4 @@
 /**
 A request with the policy that applies to it.
 */
-export type GatewayRequest = ReadRequest & {readonly policy: Policy};
+export type GatewayRequest = ParsedRequest & {readonly policy: Policy};
--- a/src/requests/in-flight.ts
+++ b/src/requests/in-flight.ts
@@ -8,7 +8,7 @@
 	/**
 	Resolves when none is left, or false once the time is up.
 	*/
-	idle(timeoutMs: number): Promise<boolean>;
+	waitUntilIdle(timeoutMs: number): Promise<boolean>;
 };
 
 /**
@@ -34,7 +34,7 @@
 			}
 		},
 		count: () => count,
-		async idle(timeoutMs) {
+		async waitUntilIdle(timeoutMs) {
 			if (count === 0) {
 				return true;
 			}
--- a/src/requests/no-target.ts
+++ b/src/requests/no-candidate-error.ts
@@ -4,7 +4,7 @@
 /**
 No backend server can take a request, for a reason.
 */
-export const noneLeft = (reason: string): GatewayError =>
+export const noCandidateError = (reason: string): GatewayError =>
 	createGatewayError(
 		'no-candidate',
 		`No backend server can take the request: ${reason}`,
@@ -13,7 +13,7 @@
 /**
 Why no zone is left for a request, by how many regions it is allowed in.
 */
-export const whyNone = (
+export const noZoneError = (
 	request: GatewayRequest,
 	allowedRegions: number,
 ): GatewayError => {
@@ -27,7 +27,7 @@
 		);
 	}
 
-	return noneLeft(
+	return noCandidateError(
 		allowedRegions === 0
 			? 'no region is allowed'
 			: 'no zone with a backend server can be reached',
--- a/src/requests/serve-forwarded.ts
+++ b/src/requests/parse-forwarded-request.ts
@@ -11,13 +11,13 @@
 */
 export type ReceivingContext = {
 	readonly configuration: Configuration | undefined;
-	readonly ownRegion: string;
+	readonly localRegion: string;
 	readonly now: number;
 	readonly signal: AbortSignal;
 	/**
 	Remembers an attempt; false if it was seen before.
 	*/
-	readonly isFirst: (attemptId: string) => boolean;
+	readonly isFirstDelivery: (attemptId: string) => boolean;
 };
 
 /**
@@ -26,7 +26,7 @@
  A forged or repeated forward, an account, policy or service that is not known here, and
  a residency that does not allow this region all refuse it before anything runs.
  */
-export const readForwarded = (
+export const parseForwardedRequest = (
 	envelope: ForwardEnvelope | undefined,
 	body: Buffer,
 	context: ReceivingContext,
@@ -50,7 +50,7 @@
 		);
 	}
 
-	if (!context.isFirst(envelope.attemptId)) {
+	if (!context.isFirstDelivery(envelope.attemptId)) {
 		// The first delivery may have run, so this one must not claim that nothing did.
 		return Result.err(
 			createGatewayError('hop-refused', 'The attempt was received before', {
@@ -88,7 +88,7 @@
 
 	const claim = {requested: envelope.requestedResidency, client};
 	if (envelope.purpose === 'serve') {
-		const guard = guardResidency(claim, context.ownRegion, configuration);
+		const guard = guardResidency(claim, context.localRegion, configuration);
 		if (guard.isErr) {
 			return Result.err(guard.error);
 		}
--- a/src/requests/read-request.ts
+++ b/src/requests/parse-request.ts
@@ -5,7 +5,7 @@
 import {parseLabels, type Labels} from '../policies/index.ts';
 import {resolveResidency} from '../routing/index.ts';
 import {stableHash} from '../shared/index.ts';
-import type {ReadRequest} from './gateway-request.ts';
+import type {ParsedRequest} from './gateway-request.ts';
 import {
 	headerOf,
 	pathOf,
@@ -16,13 +16,13 @@
 /**
 What reading a request depends on.
 */
-export type ReadingContext = {
+export type ParseContext = {
 	readonly configuration: Configuration;
 	readonly client: Client;
 	/**
 	Region of this node; home of a request that names none.
 	*/
-	readonly ownRegion: string;
+	readonly localRegion: string;
 	readonly now: number;
 	/**
 	Issues an id for a request that came without one.
@@ -46,10 +46,10 @@
 /**
 Reads and checks everything that a request states.
 */
-export const readRequest = (
+export const parseRequest = (
 	incoming: IncomingRequest,
-	context: ReadingContext,
-): Result<ReadRequest, GatewayError> =>
+	context: ParseContext,
+): Result<ParsedRequest, GatewayError> =>
 	readTarget(incoming, context.configuration).andThen((target) => {
 		const labels = parseLabels(headerOf(incoming, requestHeaders.labels));
 		if (labels.isErr) {
@@ -228,7 +228,7 @@
 	}
 };
 
-const readOptions = (incoming: IncomingRequest, context: ReadingContext) => {
+const readOptions = (incoming: IncomingRequest, context: ParseContext) => {
 	const {configuration, client, now} = context;
 	const givenId = headerOf(incoming, requestHeaders.requestId);
 	if (givenId !== undefined && !requestIdForm.test(givenId)) {
@@ -288,7 +288,7 @@
 		return Result.ok({
 			requestId: givenId ?? context.issueId(),
 			claim,
-			homeRegion: home ?? bound ?? context.ownRegion,
+			homeRegion: home ?? bound ?? context.localRegion,
 			priority,
 			deadline: now + remainingMs,
 			isRepeatable:
--- a/src/requests/permits.ts
+++ b/src/requests/permits.ts
@@ -5,7 +5,7 @@
 /**
 Who may run a request, read from its id.
 */
-export type PermitHolder = {
+export type PermitIssuer = {
 	readonly node: string;
 	/**
 	Names one start of the node's process.
@@ -17,11 +17,11 @@
 What is kept of a request that was run under a permit.
 */
 export type PermitRecord<Kept> =
-	| {readonly kind: 'running'; readonly kept: Kept}
+	| {readonly kind: 'running'; readonly answer: Kept}
 	| {
 			readonly kind: 'ended';
 			readonly outcome: Outcome;
-			readonly kept: Kept | undefined;
+			readonly answer: Kept | undefined;
 	  };
 
 /**
@@ -43,7 +43,7 @@
 	/**
 	Issued by another node, which must be asked.
 	*/
-	| {readonly kind: 'elsewhere'; readonly holder: PermitHolder}
+	| {readonly kind: 'elsewhere'; readonly holder: PermitIssuer}
 	/**
 	Issued by an earlier process of this node, or so long ago that its use is forgotten.
 	*/
@@ -66,7 +66,7 @@
 	/**
 	Milliseconds for which a use is remembered.
 	*/
-	readonly retention?: number;
+	readonly retentionMs?: number;
 };
 
 /**
@@ -112,7 +112,7 @@
 /**
 How long a use is remembered unless stated otherwise: ten minutes.
 */
-export const permitRetention = 600_000;
+export const permitRetentionMs = 600_000;
 
 const sealLength = 16;
 
@@ -144,7 +144,7 @@
  */
 export const createPermits = <Kept>(options: PermitOptions): Permits<Kept> => {
 	const {node, epoch, secret} = options;
-	const retention = options.retention ?? permitRetention;
+	const retentionMs = options.retentionMs ?? permitRetentionMs;
 	const uses = new Map<string, Use<Kept>>();
 	let count = 0;
 
@@ -154,7 +154,7 @@
 			.digest('hex')
 			.slice(0, sealLength);
 
-	const isExpired = (at: number, now: number) => now - at >= retention;
+	const isExpired = (at: number, now: number) => now - at >= retentionMs;
 
 	const forget = (now: number) => {
 		// Uses are kept in the order in which they were made, so the oldest come first.
@@ -224,13 +224,16 @@
 				? judgeOwn(use, permit.at, now)
 				: {kind: 'not-issued'};
 		},
-		attach(requestId, kept) {
+		attach(requestId, answer) {
 			const use = uses.get(requestId);
 			if (use) {
-				uses.set(requestId, {...use, record: {kind: 'running', kept}});
+				uses.set(requestId, {
+					...use,
+					record: {kind: 'running', answer},
+				});
 			}
 		},
-		end(requestId, outcome, kept) {
+		end(requestId, outcome, answer) {
 			const use = uses.get(requestId);
 			if (!use) {
 				return;
@@ -241,7 +244,10 @@
 				return;
 			}
 
-			uses.set(requestId, {...use, record: {kind: 'ended', outcome, kept}});
+			uses.set(requestId, {
+				...use,
+				record: {kind: 'ended', outcome, answer},
+			});
 		},
 		mayHaveRun(requestId) {
 			const permit = parsePermit(requestId);
--- a/src/requests/relay-stream.ts
+++ b/src/requests/relay-stream.ts
@@ -2,7 +2,7 @@
 import {createGatewayError, type GatewayError} from '../errors/index.ts';
 import type {AttemptFailure} from '../retries/index.ts';
 import type {StreamEnd} from './answer.ts';
-import {brokenBody} from './attempt-outcomes.ts';
+import {brokenAnswerFailure} from './attempt-outcomes.ts';
 import {targetId, type OpenAttempt, type Progress} from './attempt.ts';
 import {stallTimeoutMs, type Attempts} from './attempts.ts';
 import {
@@ -55,7 +55,12 @@
 			}
 
 			progress.excluded.add(targetId(attempt.target));
-			const verdict = attempts.judge(request, progress, end.failure, true);
+			const verdict = attempts.handleFailure(
+				request,
+				progress,
+				end.failure,
+				true,
+			);
 			const next = verdict.isOk
 				? await attempts.open(
 						{...request, deadline: clock() + stallTimeoutMs},
@@ -110,7 +115,7 @@
 				if (piece.kind === 'fault') {
 					return {
 						kind: 'failed',
-						failure: brokenBody(new Error(piece.message)),
+						failure: brokenAnswerFailure(new Error(piece.message)),
 					};
 				}
 
@@ -136,10 +141,10 @@
 
 			return {
 				kind: 'failed',
-				failure: brokenBody(new Error('the stream ended too soon')),
+				failure: brokenAnswerFailure(new Error('the stream ended too soon')),
 			};
 		} catch (error) {
-			return {kind: 'failed', failure: brokenBody(error as Error)};
+			return {kind: 'failed', failure: brokenAnswerFailure(error as Error)};
 		} finally {
 			clearInterval(watch);
 			attempt.finish(request.signal.aborted ? 'canceled' : 'failed');
--- a/src/requests/kept-answer.ts
+++ b/src/requests/replayable-answer.ts
@@ -5,7 +5,7 @@
  An answer that can be given more than once: to the caller, and to the same caller
  coming back with the same request id.
  */
-export type KeptAnswer = {
+export type ReplayableAnswer = {
 	/**
 	The answer, for one reader.
 	*/
@@ -15,7 +15,7 @@
 /**
 The longest answer that is kept after its end, in bytes of a body or characters of a stream.
 */
-export const maximumKeptLength = 65_536;
+export const maximumReplayLength = 65_536;
 
 /**
  Runs a request to its end, whether or not its caller stays, and keeps the answer.
@@ -25,10 +25,10 @@
  @param run
  @param onEnd called once, when the request has ended.
  */
-export const keepAnswer = (
+export const createReplayableAnswer = (
 	run: () => Promise<Answer>,
 	onEnd: (outcome: Outcome) => void,
-): KeptAnswer => {
+): ReplayableAnswer => {
 	const answer = settle(run, onEnd);
 	return {read: async () => (await answer)()};
 };
@@ -43,7 +43,7 @@
 	switch (answer.kind) {
 		case 'complete': {
 			onEnd('ran');
-			return answer.body.length > maximumKeptLength
+			return answer.body.length > maximumReplayLength
 				? readOnce(answer)
 				: () => answer;
 		}
@@ -127,7 +127,7 @@
 			notify();
 		}
 
-		if (length > maximumKeptLength) {
+		if (length > maximumReplayLength) {
 			// Readers that are under way hold their own reference to the pieces.
 			pieces = [];
 			isDropped = true;
--- a/src/requests/request-chain.ts
+++ b/src/requests/request-chain.ts
@@ -5,12 +5,12 @@
 import {refuse, type Answer} from './answer.ts';
 import {chain, type Filter} from './filter-chain.ts';
 import {
-	createAccount,
-	createLimit,
-	createMatch,
+	createRecordingFilter,
+	createLimitFilter,
+	createPolicyFilter,
 	createPermitFilter,
-	createRead,
-	identify,
+	createParseFilter,
+	identifyFilter,
 	onAnswerEnd,
 	type ReadyRequest,
 } from './filters/index.ts';
@@ -21,8 +21,8 @@
 	type IncomingRequest,
 } from './incoming-request.ts';
 import type {InFlight} from './in-flight.ts';
-import type {KeptAnswer} from './kept-answer.ts';
-import type {PermitHolder, Permits} from './permits.ts';
+import type {ReplayableAnswer} from './replayable-answer.ts';
+import type {PermitIssuer, Permits} from './permits.ts';
 import type {RequestExecutor} from './request-executor.ts';
 
 /**
@@ -32,17 +32,17 @@
 	readonly clock: () => number;
 	readonly wallClock: () => number;
 	readonly configuration: () => ParsedConfiguration | undefined;
-	readonly ownRegion: () => string;
+	readonly localRegion: () => string;
 	/**
 	Why nothing may be sent now, if so; waits out a short recovery after a pause.
 	*/
 	readonly readiness: () => Promise<GatewayError | undefined>;
 	readonly limits: ClientLimits;
-	readonly permits: Permits<KeptAnswer>;
+	readonly permits: Permits<ReplayableAnswer>;
 	readonly executor: RequestExecutor;
-	readonly askHolder: (
+	readonly askIssuer: (
 		request: GatewayRequest,
-		holder: PermitHolder,
+		holder: PermitIssuer,
 	) => Promise<Answer>;
 	readonly recorder: Recorder;
 	readonly metrics: Metrics;
@@ -112,14 +112,14 @@
 		}
 	};
 
-	const read = createRead({
+	const read = createParseFilter({
 		clock,
-		ownRegion: options.ownRegion,
+		localRegion: options.localRegion,
 		issueId: () => options.permits.issue(clock()),
 	});
-	const limit = createLimit(options.limits, clock);
-	const match = createMatch(options.wallClock);
-	const account = createAccount({
+	const limit = createLimitFilter(options.limits, clock);
+	const match = createPolicyFilter(options.wallClock);
+	const account = createRecordingFilter({
 		clock,
 		wallClock: options.wallClock,
 		configuration: () => options.configuration()?.configuration,
@@ -130,7 +130,7 @@
 		permits: options.permits,
 		clock,
 		track,
-		askHolder: options.askHolder,
+		askIssuer: options.askIssuer,
 	});
 	const permitOfPeer = createPermitFilter({
 		permits: options.permits,
@@ -138,7 +138,10 @@
 		track,
 	});
 
-	const understand = chain(chain(awaitReadiness, identify), chain(read, match));
+	const understand = chain(
+		chain(awaitReadiness, identifyFilter),
+		chain(read, match),
+	);
 
 	// A refusal that comes before the permit is looked at speaks of this submission alone;
 	// of an id that was used before it must not claim that nothing ran.
--- a/src/requests/request-executor.ts
+++ b/src/requests/request-executor.ts
@@ -6,12 +6,12 @@
 import {refuse, type Answer} from './answer.ts';
 import {
 	answerHeaders,
-	collect,
-	isServerFault,
+	collectBody,
+	isServerError,
 	servedBy,
 	tokensOf,
 } from './attempt-answers.ts';
-import {brokenBody, serverFault} from './attempt-outcomes.ts';
+import {brokenAnswerFailure, serverErrorFailure} from './attempt-outcomes.ts';
 import type {OpenAttempt, Progress} from './attempt.ts';
 import type {Attempts} from './attempts.ts';
 import type {GatewayRequest} from './gateway-request.ts';
@@ -104,7 +104,12 @@
 				return answer.value;
 			}
 
-			const verdict = attempts.judge(request, progress, answer.error, false);
+			const verdict = attempts.handleFailure(
+				request,
+				progress,
+				answer.error,
+				false,
+			);
 			if (verdict.isErr) {
 				return refuse(verdict.error);
 			}
@@ -123,10 +128,10 @@
 			Math.max(1, request.deadline - clock()),
 		);
 		try {
-			const body = await collect(attempt.upstream.body);
-			if (isServerFault(request, attempt.upstream)) {
+			const body = await collectBody(attempt.upstream.body);
+			if (isServerError(request, attempt.upstream)) {
 				attempt.finish('failed');
-				return Result.err(serverFault(attempt.upstream.status));
+				return Result.err(serverErrorFailure(attempt.upstream.status));
 			}
 
 			attempts.observeFirstToken(attempt);
@@ -142,7 +147,7 @@
 		} catch (error) {
 			const isCanceled = request.signal.aborted;
 			attempt.finish(isCanceled ? 'canceled' : 'failed');
-			return Result.err(brokenBody(error as Error));
+			return Result.err(brokenAnswerFailure(error as Error));
 		} finally {
 			clearTimeout(timer);
 		}
@@ -175,7 +180,12 @@
 				return answer.value;
 			}
 
-			const verdict = attempts.judge(request, progress, answer.error, false);
+			const verdict = attempts.handleFailure(
+				request,
+				progress,
+				answer.error,
+				false,
+			);
 			if (verdict.isErr) {
 				return refuse(verdict.error);
 			}
