--- a/src/requests/request-limits.ts
+++ b/src/requests/request-limits.ts
@@ -1,7 +1,7 @@
 import type {BackendLimits} from '../backend-limits/index.ts';
 import type {BackendServer} from '../configuration/index.ts';
 import type {Fleet} from '../fleet/index.ts';
-import {engineLife} from './request-quarantine.ts';
+import {engineIncarnationId} from './request-quarantine.ts';
 
 type Engine = Pick<BackendServer, 'id'>;
 
@@ -9,7 +9,7 @@
 Keeps the attempts of requests within the limits that engines name.
 */
 export type RequestLimits = {
-	hasRoom(server: Engine, now: number): boolean;
+	canSend(server: Engine, now: number): boolean;
 	/**
 	Requests a second that this node may send to a server; undefined where the server has no limit.
 	*/
@@ -17,8 +17,8 @@
 	/**
 	Milliseconds between two readings of a server's load by one node; 0 where it has no limit.
 	*/
-	readingPauseMs(server: Engine): number;
-	sent(server: Engine, now: number): void;
+	enginePollIntervalMs(server: Engine): number;
+	recordSent(server: Engine, now: number): void;
 };
 
 /**
@@ -28,16 +28,18 @@
 	limits: BackendLimits,
 	fleet: Pick<Fleet, 'incarnationOf'>,
 ): RequestLimits => {
-	const lifeOf = ({id}: Engine) => engineLife(id, fleet.incarnationOf(id));
+	const lifeOf = ({id}: Engine) =>
+		engineIncarnationId(id, fleet.incarnationOf(id));
 
 	return {
-		hasRoom: (server, now) =>
-			!limits.areThere() || limits.hasRoom(lifeOf(server), now),
+		canSend: (server, now) =>
+			!limits.hasAny() || limits.canSend(lifeOf(server), now),
 		rateOf: (server) =>
-			limits.areThere() ? limits.rateOf(lifeOf(server)) : undefined,
-		readingPauseMs: (server) => limits.readingPauseMs(lifeOf(server)),
-		sent(server, now) {
-			limits.sent(lifeOf(server), now);
+			limits.hasAny() ? limits.rateOf(lifeOf(server)) : undefined,
+		enginePollIntervalMs: (server) =>
+			limits.enginePollIntervalMs(lifeOf(server)),
+		recordSent(server, now) {
+			limits.recordSend(lifeOf(server), now);
 		},
 	};
 };
--- a/src/requests/request-quarantine.ts
+++ b/src/requests/request-quarantine.ts
@@ -4,16 +4,16 @@
 import {
 	fingerprintOf,
 	type Quarantine,
-	type Standing,
+	type QuarantineStatus,
 } from '../quarantine/index.ts';
 import type {GatewayRequest} from './gateway-request.ts';
 
 /**
 One life of a backend server, and when a request was sent to it.
 */
-export type AttemptPlace = {
+export type AttemptIncarnation = {
 	readonly server: string;
-	readonly life: string;
+	readonly incarnationId: string;
 	readonly sentAt: number;
 };
 
@@ -21,14 +21,17 @@
 Tells the quarantine of the attempts of requests.
 */
 export type RequestQuarantine = {
-	standing(request: GatewayRequest): Standing;
-	placeOf(server: Pick<BackendServer, 'id'>, sentAt: number): AttemptPlace;
+	statusOf(request: GatewayRequest): QuarantineStatus;
+	incarnationOf(
+		server: Pick<BackendServer, 'id'>,
+		sentAt: number,
+	): AttemptIncarnation;
 	/**
 	An attempt has ended; without a place it was made by way of another node.
 	*/
-	ended(
+	recordEnd(
 		request: GatewayRequest,
-		place: AttemptPlace | undefined,
+		place: AttemptIncarnation | undefined,
 		end: AttemptEnd,
 	): void;
 };
@@ -39,7 +42,7 @@
 @param id Of the backend server.
 @param incarnation Names its process; undefined before its first report was heard.
 */
-export const engineLife = (id: string, incarnation = ''): string =>
+export const engineIncarnationId = (id: string, incarnation = ''): string =>
 	`${id} ${incarnation}`;
 
 /**
@@ -50,19 +53,19 @@
 	fleet: Pick<Fleet, 'incarnationOf'>,
 	clock: () => number,
 ): RequestQuarantine => ({
-	standing: (request) =>
-		quarantine.standing(() => fingerprintOfRequest(request), clock()),
-	placeOf: ({id}, sentAt) => ({
+	statusOf: (request) =>
+		quarantine.status(() => fingerprintOfRequest(request), clock()),
+	incarnationOf: ({id}, sentAt) => ({
 		server: id,
-		life: engineLife(id, fleet.incarnationOf(id)),
+		incarnationId: engineIncarnationId(id, fleet.incarnationOf(id)),
 		sentAt,
 	}),
-	ended(request, place, end) {
+	recordEnd(request, place, end) {
 		if (end === 'answered') {
 			quarantine.served(() => fingerprintOfRequest(request));
 		} else if (end === 'failed' && place) {
 			const fingerprint = fingerprintOfRequest(request);
-			quarantine.broke({...place, fingerprint}, clock());
+			quarantine.connectionBroken({...place, fingerprint}, clock());
 		}
 	},
 });
@@ -70,7 +73,7 @@
 /**
 The error of a request that is sent to no server.
 */
-export const inQuarantine = (leftMs: number): GatewayError =>
+export const quarantinedError = (leftMs: number): GatewayError =>
 	createGatewayError(
 		'quarantined',
 		'Backend servers crashed each time they ran this request; it is in quarantine: change it, or come back later',
--- a/src/requests/request-statements.ts
+++ b/src/requests/request-statements.ts
@@ -7,9 +7,9 @@
 import type {Fleet} from '../fleet/index.ts';
 import type {
 	AnswerSource,
-	StatementIntake,
+	StatementHandler,
 } from '../server-statements/index.ts';
-import {engineLife} from './request-quarantine.ts';
+import {engineIncarnationId} from './request-quarantine.ts';
 
 type Engine = Pick<BackendServer, 'id'>;
 
@@ -20,20 +20,20 @@
 	/**
 	An engine answered an attempt.
 	*/
-	answered(
+	recordAnswer(
 		server: Engine,
 		attemptId: string,
 		head: EngineHead,
 		sentAt: number,
 	): void;
-	loadReported(server: Engine, head: EngineHead, sentAt: number): void;
+	recordLoadReport(server: Engine, head: EngineHead, sentAt: number): void;
 };
 
 /**
 Builds what attributes heads to the present lives of engines.
 */
 export const createRequestStatements = (
-	intake: StatementIntake,
+	intake: StatementHandler,
 	fleet: Pick<Fleet, 'incarnationOf'>,
 	clock: () => number,
 ): RequestStatements => {
@@ -43,10 +43,10 @@
 		sentAt: number,
 		source: AnswerSource,
 	) => {
-		intake.heard({
+		intake.handle({
 			...head,
 			server: id,
-			life: engineLife(id, fleet.incarnationOf(id)),
+			incarnationId: engineIncarnationId(id, fleet.incarnationOf(id)),
 			source,
 			sentAt,
 			receivedAt: clock(),
@@ -56,10 +56,10 @@
 	};
 
 	return {
-		answered(server, attemptId, head, sentAt) {
+		recordAnswer(server, attemptId, head, sentAt) {
 			heard(server, head, sentAt, sourceOf(attemptId, head));
 		},
-		loadReported(server, head, sentAt) {
+		recordLoadReport(server, head, sentAt) {
 			heard(server, head, sentAt, 'load report');
 		},
 	};
--- a/src/requests/target-choice.ts
+++ b/src/requests/target-choice.ts
@@ -11,7 +11,7 @@
 /**
 A summary of another zone as it was heard, with its age.
 */
-export type HeardSummary = ZoneServiceSummary & {readonly ageMs: number};
+export type ReceivedZoneSummary = ZoneServiceSummary & {readonly ageMs: number};
 
 /**
 Where the next attempt of a request goes.
@@ -41,7 +41,7 @@
 			/**
 			Given where all of them rest: milliseconds until the first of them may be sent a request.
 			*/
-			readonly restLeftMs?: number;
+			readonly backoffRemainingMs?: number;
 	  }
 	| {readonly kind: 'none'; readonly error: GatewayError};
 
@@ -54,7 +54,7 @@
 	/**
 	The limits that backend servers name.
 	*/
-	readonly limits: Pick<RequestLimits, 'hasRoom' | 'rateOf'>;
+	readonly limits: Pick<RequestLimits, 'canSend' | 'rateOf'>;
 	readonly random: Random;
 	readonly configuration: () => Configuration | undefined;
 	/**
@@ -65,7 +65,7 @@
 		availabilityZone: string,
 		service: string,
 		now: number,
-	) => HeardSummary | undefined;
+	) => ReceivedZoneSummary | undefined;
 };
 
 /**
--- a/src/retries/decide-retry.ts
+++ b/src/retries/decide-retry.ts
@@ -27,7 +27,7 @@
 /**
 The state of a request when an attempt has failed.
 */
-export type RetryQuestion = {
+export type RetryContext = {
 	readonly failure: AttemptFailure;
 	readonly isRepeatable: boolean;
 	/**
@@ -62,12 +62,12 @@
 /**
 Less time than this before the deadline is not worth another attempt.
 */
-export const smallestWorthwhileMs = 20;
+export const minimumAttemptMs = 20;
 
 /**
  Decides about another attempt; only the node at which a request entered asks this.
  */
-export const decideRetry = (question: RetryQuestion): RetryDecision => {
+export const decideRetry = (question: RetryContext): RetryDecision => {
 	const {failure, isRepeatable, hasDelivered, isResumable} = question;
 	if (!isRepeatable && failure.outcome !== 'not-run') {
 		return giveUp(unknownOutcome(failure));
@@ -82,7 +82,7 @@
 		);
 	}
 
-	if (question.remainingMs < smallestWorthwhileMs) {
+	if (question.remainingMs < minimumAttemptMs) {
 		return giveUp(pastDeadline(failure));
 	}
 
--- a/src/retries/retry-yield.ts
+++ b/src/retries/retry-yield.ts
@@ -10,18 +10,18 @@
 	/**
 	Enters how such a retry ended.
 	*/
-	note(route: string, isSuccess: boolean): void;
+	record(route: string, isSuccess: boolean): void;
 };
 
 /**
 Below this share of successful retries, only a sample is retried.
 */
-export const worthwhileYield = 0.15;
+export const minimumRetryYield = 0.15;
 
 /**
 One of so many failed requests is retried all the same, to notice when retries help again.
 */
-export const sampledRetries = 8;
+export const retrySampleInterval = 8;
 
 // What is taken as the share before anything was seen, and the weight of one more retry in it.
 const initialYield = 0.3;
@@ -49,14 +49,14 @@
 	return {
 		isWorthwhile(route) {
 			const entry = entryOf(route);
-			if (entry.share >= worthwhileYield) {
+			if (entry.share >= minimumRetryYield) {
 				return true;
 			}
 
-			entry.skipped = (entry.skipped + 1) % sampledRetries;
+			entry.skipped = (entry.skipped + 1) % retrySampleInterval;
 			return entry.skipped === 0;
 		},
-		note(route, isSuccess) {
+		record(route, isSuccess) {
 			const entry = entryOf(route);
 			entry.share += ((isSuccess ? 1 : 0) - entry.share) * weight;
 		},
--- a/src/retries/window-retry-budget.ts
+++ b/src/retries/window-retry-budget.ts
@@ -20,20 +20,20 @@
 	/**
 	Counts a request of a caller.
 	*/
-	earn(service: string, now: number): void;
+	recordRequest(service: string, now: number): void;
 	/**
 	Takes a retry, or says that there is none left.
 
 	@param nodes how many nodes share the slack.
 	*/
-	take(service: string, nodes: number, now: number): boolean;
+	tryTake(service: string, nodes: number, now: number): boolean;
 };
 
 /**
 Part of the bound that is used. The rest covers what arrives later than it was sent, and nodes that
 are not known yet.
 */
-export const usedBudgetPart = 0.7;
+export const usedBudgetFraction = 0.7;
 
 const bucketMs = 500;
 
@@ -66,10 +66,10 @@
 	};
 
 	return {
-		earn(service, now) {
+		recordRequest(service, now) {
 			current(service, now).requests += 1;
 		},
-		take(service, nodes, now) {
+		tryTake(service, nodes, now) {
 			const bucket = current(service, now);
 			let requests = 0;
 			let retries = 0;
@@ -79,7 +79,7 @@
 			}
 
 			const allowed =
-				usedBudgetPart *
+				usedBudgetFraction *
 				(bound.ratio * requests + bound.slack / Math.max(1, nodes));
 			if (retries + 1 > allowed) {
 				return false;
--- a/src/routing/candidate-pool.ts
+++ b/src/routing/candidate-pool.ts
@@ -13,7 +13,7 @@
 	/**
 	The candidate for a server, or undefined where it may not be given work now.
 	*/
-	judge(server: BackendServer): BackendServerCandidate | undefined;
+	candidateFor(server: BackendServer): BackendServerCandidate | undefined;
 
 	/**
 	Load of all servers as a share of their slots.
@@ -31,6 +31,6 @@
 */
 export const allCandidates = ({
 	servers,
-	judge,
+	candidateFor,
 }: CandidatePool): readonly BackendServerCandidate[] =>
-	servers.flatMap((server) => judge(server) ?? []);
+	servers.flatMap((server) => candidateFor(server) ?? []);
--- a/src/routing/candidates.ts
+++ b/src/routing/candidates.ts
@@ -28,7 +28,7 @@
 	/**
 	Whether it is the zone of the deciding node.
 	*/
-	readonly isOwn: boolean;
+	readonly isLocal: boolean;
 	/**
 	Whether it lies in the request's home region.
 	*/
--- a/src/routing/choose-backend-server.ts
+++ b/src/routing/choose-backend-server.ts
@@ -68,9 +68,12 @@
 	((candidate.load + 1) / candidate.slots) *
 	Math.max(1, candidate.expectedFirstTokenMs);
 
-const nextInTurn = ({servers, judge}: CandidatePool, turn: number): Choice => {
+const nextInTurn = (
+	{servers, candidateFor}: CandidatePool,
+	turn: number,
+): Choice => {
 	for (let step = 0; step < servers.length; step += 1) {
-		const candidate = judge(servers[(turn + step) % servers.length]!);
+		const candidate = candidateFor(servers[(turn + step) % servers.length]!);
 		if (candidate) {
 			return candidate;
 		}
@@ -109,7 +112,7 @@
 ): Choice => {
 	for (let attempt = 0; attempt < maximumDraws; attempt += 1) {
 		const server = pool.servers[random.below(pool.servers.length)]!;
-		const candidate = pool.judge(server);
+		const candidate = pool.candidateFor(server);
 		const isTaken =
 			candidate !== undefined && random.fraction() < candidate.weight;
 		if (isTaken && candidate.id !== other?.id) {
@@ -150,7 +153,7 @@
 	const bound = Math.max(loadBound * pool.meanUtilization, leastBound);
 	const slowest = pool.typicalFirstTokenMs * slowFactor;
 	for (const server of heaviest(pool.servers, prefixKey)) {
-		const candidate = pool.judge(server);
+		const candidate = pool.candidateFor(server);
 		if (
 			candidate &&
 			utilization(candidate) <= bound &&
--- a/src/routing/choose-zone.ts
+++ b/src/routing/choose-zone.ts
@@ -157,7 +157,7 @@
 };
 
 const nearest = (zones: readonly ZoneCandidate[]): ZoneCandidate | undefined =>
-	zones.find(({isOwn}) => isOwn) ??
+	zones.find(({isLocal}) => isLocal) ??
 	(zones.length > 0 ? least(zones, utilization) : undefined);
 
 const expected = (zone: ZoneCandidate): number => zone.expectedFirstTokenMs;
--- a/src/routing/route.ts
+++ b/src/routing/eligibility.ts
@@ -33,7 +33,7 @@
 /**
 The regions that residency and policy leave.
 */
-export const judgeRegions = (
+export const evaluateRegions = (
 	configuration: Configuration,
 	policy: Policy,
 	residency: Residency,
@@ -54,7 +54,7 @@
 /**
 What the verdicts on backend servers depend on.
 */
-export type ServerQuestion = {
+export type BackendServerQuery = {
 	readonly configuration: Configuration;
 	readonly policy: Policy;
 	readonly service: string;
@@ -68,12 +68,12 @@
 /**
 The backend servers of one service that regions and policy leave.
 */
-export const judgeBackendServers = ({
+export const evaluateBackendServers = ({
 	configuration,
 	policy,
 	service,
 	regions,
-}: ServerQuestion): readonly CandidateVerdict[] => {
+}: BackendServerQuery): readonly CandidateVerdict[] => {
 	const allowed = new Set(
 		regions
 			.filter(({verdict}) => verdict === 'candidate')
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -3,4 +3,4 @@
 export * from './candidate-pool.ts';
 export * from './choose-backend-server.ts';
 export * from './choose-zone.ts';
-export * from './route.ts';
+export * from './eligibility.ts';
--- a/src/server-statements/leaving-broadcast.ts
+++ b/src/server-statements/leaving-broadcast.ts
@@ -15,11 +15,11 @@
 	/**
 	A server has announced its shutdown to this node.
 	*/
-	learned(leaving: LeavingServer, now: number): void;
+	recordAnnouncement(leaving: LeavingServer, now: number): void;
 	/**
 	Another node has broadcast it.
 	*/
-	heard(life: string): void;
+	recordPeerBroadcast(life: string): void;
 	/**
 	Broadcasts what is due; called at each tick.
 	*/
@@ -35,7 +35,7 @@
 	/**
 	Tells all other nodes of the region.
 	*/
-	readonly tellPeers: (message: ServerLeavingMessage) => void;
+	readonly sendToPeers: (message: ServerLeavingMessage) => void;
 };
 
 /**
@@ -46,13 +46,13 @@
 /**
 Nodes that come later in the order wait as long as this one.
 */
-export const lastFailover = 10;
+export const maximumFailoverRank = 10;
 
 /**
 Broadcasts of one shutdown, and the interval between them in milliseconds: datagrams are lost.
 */
-export const leavingBroadcasts = 3;
-export const leavingRepeatMs = 700;
+export const leavingBroadcastCount = 3;
+export const leavingBroadcastIntervalMs = 700;
 
 type Pending = {
 	readonly leaving: LeavingServer;
@@ -66,23 +66,24 @@
 export const createLeavingBroadcast = ({
 	self,
 	order,
-	tellPeers,
+	sendToPeers,
 }: LeavingBroadcastOptions): LeavingBroadcast => {
 	const pending = new Map<string, Pending>();
 
 	return {
-		learned(leaving, now) {
-			const {life} = leaving;
+		recordAnnouncement(leaving, now) {
+			const {incarnationId} = leaving;
 			const waitMs =
-				Math.min(lastFailover, order.rank(life)) * leavingFailoverMs;
-			pending.set(life, {
+				Math.min(maximumFailoverRank, order.rank(incarnationId)) *
+				leavingFailoverMs;
+			pending.set(incarnationId, {
 				leaving,
 				dueAt: now + waitMs,
-				left: leavingBroadcasts,
+				left: leavingBroadcastCount,
 			});
 		},
-		heard(life) {
-			pending.delete(life);
+		recordPeerBroadcast(incarnationId) {
+			pending.delete(incarnationId);
 		},
 		tick(now) {
 			const due = pending
@@ -95,13 +96,13 @@
 
 			for (const each of due) {
 				each.left -= 1;
-				each.dueAt = now + leavingRepeatMs;
+				each.dueAt = now + leavingBroadcastIntervalMs;
 				if (each.left === 0) {
-					pending.delete(each.leaving.life);
+					pending.delete(each.leaving.incarnationId);
 				}
 			}
 
-			tellPeers({
+			sendToPeers({
 				kind: 'servers-leaving',
 				from: self,
 				servers: due.map(({leaving}) => leaving),
--- a/src/server-statements/parse-statements.ts
+++ b/src/server-statements/parse-statements.ts
@@ -4,16 +4,16 @@
 /**
 The longest rest that a server is believed to ask for, in milliseconds.
 */
-export const longestRestMs = 86_400_000;
+export const maximumRetryAfterMs = 86_400_000;
 
 /**
 Parses `Retry-After` of a backend server, in seconds with fractions, into milliseconds.
 */
-export const parseRest = (text: string): Result<number, string> => {
+export const parseRetryAfter = (text: string): Result<number, string> => {
 	const seconds = parseDecimal(text);
 	return seconds === undefined
 		? Result.err(`Retry-After "${text}" is not a number of seconds`)
-		: Result.ok(Math.min(longestRestMs, seconds * 1000));
+		: Result.ok(Math.min(maximumRetryAfterMs, seconds * 1000));
 };
 
 /**
--- a/src/server-statements/read-statements.ts
+++ b/src/server-statements/read-statements.ts
@@ -1,7 +1,7 @@
 import type {Result} from 'true-myth';
 import {parseStatedLoad} from '../backends/stated-load.ts';
 import {readLimitStatement} from '../backend-limits/index.ts';
-import {parseCold, parseLeaving, parseRest} from './parse-statements.ts';
+import {parseCold, parseLeaving, parseRetryAfter} from './parse-statements.ts';
 import {
 	noStatements,
 	type ServerStatements,
@@ -44,19 +44,19 @@
 
 	const isLeaving = read('leaving', names.leaving, parseLeaving) ?? false;
 	const {isDated, isDirect} = traits[answer.source];
-	const restMs =
+	const backoffMs =
 		isDirect && answer.status === unavailable
-			? read('rest', retryAfterHeader, parseRest)
+			? read('rest', retryAfterHeader, parseRetryAfter)
 			: undefined;
 	return isDated
 		? {
 				isLeaving,
-				restMs,
+				backoffMs,
 				limit: limitOf(names, answer, onFault),
 				load: read('load', names.load, parseStatedLoad),
 				coldMs: read('cold', names.coldMs, parseCold),
 			}
-		: {...noStatements, isLeaving, restMs};
+		: {...noStatements, isLeaving, backoffMs};
 };
 
 type SourceTraits = {
--- a/src/server-statements/server-rests.ts
+++ b/src/server-statements/server-backoffs.ts
@@ -1,7 +1,7 @@
 /**
 The rests that backend servers asked this node for, by their lives. A rest binds the node that was asked, and no other.
 */
-export type ServerRests = {
+export type ServerBackoffs = {
 	/**
 	A server asked for a rest. The longest that was asked for holds.
 
@@ -11,26 +11,26 @@
 	/**
 	Milliseconds until a server may be sent anything; 0 where it may be now.
 	*/
-	leftMs(life: string, now: number): number;
+	remainingMs(life: string, now: number): number;
 	/**
 	Whether one more request may be sent to a server. After a rest the allowed requests in flight double with each round of
 	answers (slow start), so that those that were held back do not arrive all at once.
 
 	@param inFlight Requests of this node in flight at the server.
 	*/
-	hasRoom(life: string, inFlight: number, now: number): boolean;
+	canSend(life: string, inFlight: number, now: number): boolean;
 	/**
 	A server answered a request.
 	*/
-	answered(life: string, now: number): void;
+	recordAnswer(life: string, now: number): void;
 	/**
 	Whether any server rests, or returns from a rest.
 	*/
-	areThere(): boolean;
+	hasAny(): boolean;
 	/**
 	Servers that rest.
 	*/
-	resting(now: number): number;
+	activeCount(now: number): number;
 	/**
 	Ends returns that are complete; called at each tick.
 
@@ -42,24 +42,24 @@
 /**
 Servers whose rests are remembered; the earliest is forgotten first.
 */
-export const maximumRests = 2000;
+export const maximumBackoffs = 2000;
 
 /**
 Requests under way with which a server has returned from its rest.
 */
-export const returnedInFlight = 64;
+export const slowStartMaximumInFlight = 64;
 
 /**
 A return without enough requests to complete it ends after this time, in milliseconds.
 */
-export const longestReturnMs = 10_000;
+export const maximumSlowStartMs = 10_000;
 
 /**
 Nodes begin to send again within this part of the rest after its end, and within this time in milliseconds: they were asked at
 the same moment.
 */
-export const spreadPart = 0.2;
-export const longestSpreadMs = 500;
+export const jitterFraction = 0.2;
+export const maximumJitterMs = 500;
 
 type Rest = {
 	until: number;
@@ -70,20 +70,24 @@
 /**
 Builds an empty set of rests.
 
-@param draw A number from 0 to 1.
+@param randomFraction A number from 0 to 1.
 */
-export const createServerRests = (draw: () => number): ServerRests => {
+export const createServerBackoffs = (
+	randomFraction: () => number,
+): ServerBackoffs => {
 	const rests = new Map<string, Rest>();
 
-	const leftMs = (life: string, now: number): number =>
+	const remainingMs = (life: string, now: number): number =>
 		Math.max(0, (rests.get(life)?.until ?? -Infinity) - now);
 
 	const isComplete = ({until, answers}: Rest, now: number): boolean =>
-		answers + 1 >= returnedInFlight || now - until >= longestReturnMs;
+		answers + 1 >= slowStartMaximumInFlight ||
+		now - until >= maximumSlowStartMs;
 
 	return {
 		begin(life, restMs, now) {
-			const spreadMs = Math.min(longestSpreadMs, restMs * spreadPart) * draw();
+			const spreadMs =
+				Math.min(maximumJitterMs, restMs * jitterFraction) * randomFraction();
 			const until = now + restMs + spreadMs;
 			const known = rests.get(life);
 			const wasResting = known !== undefined && known.until > now;
@@ -93,27 +97,27 @@
 				hasEnded: false,
 				answers: 0,
 			});
-			if (rests.size > maximumRests) {
+			if (rests.size > maximumBackoffs) {
 				rests.delete(rests.keys().next().value!);
 			}
 
 			return wasResting;
 		},
-		leftMs,
-		hasRoom(life, inFlight, now) {
+		remainingMs,
+		canSend(life, inFlight, now) {
 			const rest = rests.get(life);
 			return (
 				rest === undefined || (rest.until <= now && inFlight <= rest.answers)
 			);
 		},
-		answered(life, now) {
+		recordAnswer(life, now) {
 			const rest = rests.get(life);
 			if (rest && rest.until <= now) {
 				rest.answers += 1;
 			}
 		},
-		areThere: () => rests.size > 0,
-		resting: (now) =>
+		hasAny: () => rests.size > 0,
+		activeCount: (now) =>
 			rests
 				.values()
 				.filter(({until}) => until > now)
--- a/src/server-statements/server-statements.ts
+++ b/src/server-statements/server-statements.ts
@@ -12,7 +12,7 @@
 	/**
 	How long it wants no requests from this node, in milliseconds.
 	*/
-	readonly restMs: number | undefined;
+	readonly backoffMs: number | undefined;
 	/**
 	Its rate limit over all nodes; undefined where the answer neither sets nor ends one.
 	*/
@@ -29,7 +29,7 @@
 */
 export const noStatements: ServerStatements = {
 	isLeaving: false,
-	restMs: undefined,
+	backoffMs: undefined,
 	limit: undefined,
 	load: undefined,
 	coldMs: undefined,
--- a/src/server-statements/stated-answer.ts
+++ b/src/server-statements/stated-answer.ts
@@ -36,7 +36,7 @@
 	/**
 	Names the life of the server that the request was sent to.
 	*/
-	readonly life: string;
+	readonly incarnationId: string;
 	readonly source: AnswerSource;
 	/**
 	When the request was sent, and when its answer came, by this node's clock in milliseconds.
--- a/src/server-statements/statement-intake.ts
+++ b/src/server-statements/statement-handler.ts
@@ -7,11 +7,11 @@
 /**
 Takes in what backend servers state about themselves. Every answer of a server passes through here.
 */
-export type StatementIntake = {
+export type StatementHandler = {
 	/**
 	@returns What the answer states, for what concerns its own request only.
 	*/
-	heard(answer: StatedAnswer): ServerStatements;
+	handle(answer: StatedAnswer): ServerStatements;
 };
 
 /**
@@ -19,7 +19,7 @@
 */
 export type StatementOrigin = Pick<
 	StatedAnswer,
-	'server' | 'life' | 'sentAt' | 'receivedAt'
+	'server' | 'incarnationId' | 'sentAt' | 'receivedAt'
 > & {
 	/**
 	A kind of answer, or another node that told of one.
@@ -30,10 +30,10 @@
 /**
 Who acts on the statements.
 */
-export type StatementIntakeOptions = {
+export type StatementHandlerOptions = {
 	readonly headers: StatementHeaders;
 	readonly onLeaving: (origin: StatementOrigin) => void;
-	readonly onRest: (origin: StatementOrigin, restMs: number) => void;
+	readonly onBackoff: (origin: StatementOrigin, restMs: number) => void;
 	readonly onLimit: (
 		life: string,
 		statement: LimitStatement,
@@ -45,28 +45,28 @@
 /**
 Builds an intake.
 */
-export const createStatementIntake = ({
+export const createStatementHandler = ({
 	headers,
 	onLeaving,
-	onRest,
+	onBackoff,
 	onLimit,
 	onFault,
-}: StatementIntakeOptions): StatementIntake => ({
-	heard(answer) {
+}: StatementHandlerOptions): StatementHandler => ({
+	handle(answer) {
 		const statements = readStatements(headers, answer, (fault) => {
 			onFault(answer.server, fault);
 		});
-		const {isLeaving, restMs, limit} = statements;
+		const {isLeaving, backoffMs, limit} = statements;
 		if (isLeaving) {
 			onLeaving(answer);
 		}
 
-		if (restMs !== undefined && restMs > 0) {
-			onRest(answer, restMs);
+		if (backoffMs !== undefined && backoffMs > 0) {
+			onBackoff(answer, backoffMs);
 		}
 
 		if (limit !== undefined) {
-			onLimit(answer.life, limit, answer.source);
+			onLimit(answer.incarnationId, limit, answer.source);
 		}
 
 		return statements;
--- a/src/settings/gateway-settings.ts
+++ b/src/settings/gateway-settings.ts
@@ -1,6 +1,10 @@
 import {Result} from 'true-myth';
 import {logLevelNames} from '../logging/index.ts';
-import {mechanisms, parseWithout, type Without} from '../mechanisms/index.ts';
+import {
+	mechanisms,
+	parseDisabledMechanisms,
+	type DisabledMechanisms,
+} from '../mechanisms/index.ts';
 import {nodeSettings} from './node-settings.ts';
 import {createSetting, type SettingValue} from './setting.ts';
 import {
@@ -49,7 +53,7 @@
 		0,
 		3_600_000,
 	),
-	without: createSetting<Without>(
+	without: createSetting<DisabledMechanisms>(
 		{
 			flag: '--without',
 			description:
@@ -57,7 +61,7 @@
 			fallback: '',
 		},
 		`names separated by commas, or empty, of ${mechanisms.join(', ')}`,
-		parseWithout,
+		parseDisabledMechanisms,
 	),
 	logLevel: choiceSetting(
 		{
--- a/src/shared/drop-body.ts
+++ b/src/shared/discard-body.ts
@@ -6,7 +6,7 @@
 
 An unread answer that is destroyed reports an error, and an error that nobody listens to ends the process.
 */
-export const dropBody = (body: Readable): void => {
+export const discardBody = (body: Readable): void => {
 	body.on('error', () => undefined);
 	body.destroy();
 };
--- a/src/shared/keyed-loops.ts
+++ b/src/shared/keyed-loops.ts
@@ -1,7 +1,7 @@
 /**
 One turn of a loop; resolves with the pause until the next turn, in milliseconds.
 */
-export type LoopTurn = (isOver: () => boolean) => Promise<number>;
+export type LoopIteration = (isOver: () => boolean) => Promise<number>;
 
 /**
 Loops that run one for each key, and begin and end as keys come and go.
@@ -22,11 +22,11 @@
 */
 export const createKeyedLoops = <Item>(
 	wanted: () => ReadonlyMap<string, Item>,
-	begin: (item: Item) => LoopTurn,
+	begin: (item: Item) => LoopIteration,
 ): KeyedLoops => {
 	const ends = new Map<string, () => void>();
 
-	const run = (key: string, turn: LoopTurn) => {
+	const run = (key: string, turn: LoopIteration) => {
 		let isOver = false;
 		let timer: NodeJS.Timeout | undefined;
 		const next = async () => {
--- a/src/shared/held-calls.ts
+++ b/src/shared/long-poll-waiters.ts
@@ -1,7 +1,7 @@
 /**
 Calls that are held until there is something to answer.
 */
-export type HeldCalls = {
+export type LongPollWaiters = {
 	/**
 	Resolves when `release` is called, or when the longest wait is over.
 	*/
@@ -12,7 +12,7 @@
 /**
 Builds a holder of no calls.
 */
-export const createHeldCalls = (): HeldCalls => {
+export const createLongPollWaiters = (): LongPollWaiters => {
 	const held = new Set<() => void>();
 	return {
 		wait: async (longestMs) =>
--- a/stand-ins/child-process.ts
+++ b/stand-ins/child-process.ts
@@ -23,7 +23,7 @@
 /**
 Ends at once whatever was started and still runs.
 */
-export const endAll = () => {
+export const killAll = () => {
 	for (const child of running) {
 		child.kill('SIGKILL');
 	}
@@ -32,7 +32,7 @@
 /**
 What is started, and where its output goes.
 */
-export type Start = {
+export type ProcessOptions = {
 	readonly name: string;
 	readonly address: Address;
 	readonly command: readonly string[];
@@ -49,7 +49,7 @@
 	command,
 	environment = {},
 	logFolder,
-}: Start): Process => {
+}: ProcessOptions): Process => {
 	const [file, ...words] = command;
 	const child = spawn(file!, words, {
 		env: {...process.env, ...environment},
--- a/stand-ins/crashing-server.ts
+++ b/stand-ins/crashing-server.ts
@@ -14,7 +14,7 @@
 /**
 A request that began to run at a server.
 */
-export type NotedRun = {
+export type RecordedRun = {
 	readonly at: number;
 	readonly server: string;
 	readonly body: string;
@@ -23,9 +23,9 @@
 /**
 What all servers of a test write into.
 */
-export type RunBook = {
-	readonly runs: NotedRun[];
-	readonly crashes: Array<Pick<NotedRun, 'at' | 'server'>>;
+export type RunLog = {
+	readonly runs: RecordedRun[];
+	readonly crashes: Array<Pick<RecordedRun, 'at' | 'server'>>;
 };
 
 /**
@@ -55,7 +55,7 @@
 	registry: StandInRegistry,
 	entry: Omit<RegisteredServer, 'coldMs' | 'isLeaving' | 'startedAt'>,
 	{isFatal, events, pauseMs, downMs}: CrashingBehaviour,
-	book: RunBook,
+	book: RunLog,
 ): Promise<{close(): Promise<void>}> => {
 	let server: Server;
 	let restart: NodeJS.Timeout | undefined;
--- a/stand-ins/deployment.ts
+++ b/stand-ins/deployment.ts
@@ -4,7 +4,7 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import process from 'node:process';
-import {endAll, startProcess, type Process} from './child-process.ts';
+import {killAll, startProcess, type Process} from './child-process.ts';
 import type {ConfigurationDocument} from './configuration-document.ts';
 import {askAdministration, awaitAnswer, control} from './deployment-calls.ts';
 import {eventually} from './eventually.ts';
@@ -93,7 +93,7 @@
 ): Promise<Deployment> => {
 	// Before anything is started: what runs would keep the tests waiting.
 	const command = nodeCommand();
-	process.once('exit', endAll);
+	process.once('exit', killAll);
 	const logFolder = mkdtempSync(path.join(tmpdir(), 'quillford-'));
 	const document = structuredClone(options.document);
 	const regionOf = new Map(
@@ -219,7 +219,7 @@
 		control,
 		administration,
 		async stop() {
-			process.off('exit', endAll);
+			process.off('exit', killAll);
 			const all = [platform, ...nodes.values(), ...backendServers.values()];
 			for (const {child} of all) {
 				child.kill('SIGKILL');
--- a/stand-ins/registry.ts
+++ b/stand-ins/registry.ts
@@ -5,7 +5,7 @@
 	RegistryValue,
 } from '../src/registry/index.ts';
 import type {RouteDocument} from '../src/routes/index.ts';
-import {createHeldCalls} from '../src/shared/index.ts';
+import {createLongPollWaiters} from '../src/shared/index.ts';
 
 /**
 A registry in memory that many nodes read.
@@ -57,7 +57,7 @@
 }: StandInRegistryOptions = {}): StandInRegistry => {
 	const rows = new Map<string, RegistryItem>();
 	let history: RegistryItem[] = [];
-	const held = createHeldCalls();
+	const held = createLongPollWaiters();
 	let era = 1;
 	let historyFrom = 0;
 	// Other than revisions, these are not given out again.
--- a/stand-ins/stating-server.ts
+++ b/stand-ins/statement-server.ts
@@ -22,12 +22,12 @@
 /**
 A backend server that states something about itself in its answers.
 */
-export type StatingServer = {
+export type StatementServer = {
 	readonly arrivals: readonly Arrival[];
 	/**
 	Names another limit from now on, or none.
 	*/
-	name(perSecond: number | undefined): void;
+	setLimit(perSecond: number | undefined): void;
 	/**
 	Announces its shutdown in each answer from now on.
 	*/
@@ -57,7 +57,7 @@
 /**
 How a server answers.
 */
-export type StatingAnswer = {
+export type ResponseShape = {
 	/**
 	Milliseconds before the answer begins.
 	*/
@@ -71,7 +71,7 @@
 
 const sendEvents = (
 	response: ServerResponse,
-	{events, pauseMs}: StatingAnswer,
+	{events, pauseMs}: ResponseShape,
 ) => {
 	let index = 0;
 	const sendNext = () => {
@@ -90,11 +90,11 @@
 /**
 Starts a backend server that states something about itself in the heads of its answers, and enters it into the registry.
 */
-export const startStatingServer = async (
+export const startStatementServer = async (
 	registry: StandInRegistry,
 	entry: Omit<RegisteredServer, 'coldMs' | 'isLeaving'>,
-	answer: StatingAnswer,
-): Promise<StatingServer> => {
+	answer: ResponseShape,
+): Promise<StatementServer> => {
 	const arrivals: Arrival[] = [];
 	let limit: number | undefined;
 	let isLeaving = false;
@@ -175,7 +175,7 @@
 	register();
 	return {
 		arrivals,
-		name(perSecond) {
+		setLimit(perSecond) {
 			limit = perSecond;
 		},
 		announceLeaving() {
--- a/tests/backend-limits/limit-log.test.ts
+++ b/tests/backend-limits/limit-log.test.ts
@@ -1,7 +1,7 @@
 import {test, type TestContext} from 'node:test';
 import {
 	createLimitLog,
-	limitLineEveryMs,
+	limitLogIntervalMs,
 } from '../../src/backend-limits/index.ts';
 
 test('a limit that changes with each answer is written now and then, its beginning and end always', (t: TestContext) => {
@@ -22,20 +22,20 @@
 		now: number,
 	) => {
 		log.changed(
-			{life: 'a 1', before, perSecond, source: 'answer', ageMs: 12.4},
+			{incarnationId: 'a 1', before, perSecond, source: 'answer', ageMs: 12.4},
 			{sentBefore: 3},
 			now,
 		);
 	};
 
 	change(undefined, 5, 0);
-	for (let now = 1; now < limitLineEveryMs; now += 1) {
+	for (let now = 1; now < limitLogIntervalMs; now += 1) {
 		change(5, 6, now);
 	}
 
 	t.assert.strictEqual(lines.length, 1);
-	change(6, 7, limitLineEveryMs);
-	change(7, undefined, limitLineEveryMs + 1);
+	change(6, 7, limitLogIntervalMs);
+	change(7, undefined, limitLogIntervalMs + 1);
 	t.assert.strictEqual(lines.length, 3);
 	t.assert.deepStrictEqual(lines[0], {
 		server: 'a 1',
--- a/tests/backend-limits/limit-model.ts
+++ b/tests/backend-limits/limit-model.ts
@@ -14,7 +14,7 @@
 */
 export type LimitRule = Pick<
 	BackendLimits,
-	'stated' | 'hear' | 'hasRoom' | 'sent' | 'tick'
+	'recordStatement' | 'receive' | 'canSend' | 'recordSend' | 'tick'
 >;
 
 /**
@@ -27,8 +27,8 @@
 	*/
 	readonly others: () => readonly Member[];
 	readonly lastHeard: () => number | undefined;
-	readonly mayShare: () => boolean;
-	readonly tell: (
+	readonly canUseLimitedServers: () => boolean;
+	readonly send: (
 		members: readonly Member[],
 		message: BackendLimitMessage,
 	) => void;
@@ -132,7 +132,7 @@
 Plays nodes that share one server, without a network: what they tell each other takes up to 80 ms, and one message in fifty
 is lost.
 */
-export const playLimit = (plan: LimitPlan): readonly LimitArrival[] => {
+export const simulateLimit = (plan: LimitPlan): readonly LimitArrival[] => {
 	const random = createRandom(plan.seed);
 	const queue = new TinyQueue<Event>([], (left, right) => left.at - right.at);
 	const events = plan.events ?? [];
@@ -176,7 +176,7 @@
 
 		after(random.below(longestTellingMs), () => {
 			act(to, () => {
-				states[to]!.rule.hear(message, now);
+				states[to]!.rule.receive(message, now);
 			});
 		});
 	};
@@ -197,8 +197,8 @@
 			self: `node-${node}`,
 			others: () => state.others,
 			lastHeard: () => state.heardAt,
-			mayShare: () => now - state.startedAt > settlingMs,
-			tell(members, message) {
+			canUseLimitedServers: () => now - state.startedAt > settlingMs,
+			send(members, message) {
 				for (const {id} of members) {
 					pass(node, nodeOf(id), message);
 				}
@@ -241,7 +241,7 @@
 						earliest: sentAt,
 						latest: now,
 					};
-					rule.stated('server', statement, 'answer');
+					rule.recordStatement('server', statement, 'answer');
 				});
 			});
 		});
@@ -252,11 +252,11 @@
 		after(pause / plan.wantedPerSecond, () => {
 			act(node, () => {
 				const {rule} = states[node]!;
-				if (isDeserted(node) || !rule.hasRoom('server', now)) {
+				if (isDeserted(node) || !rule.canSend('server', now)) {
 					return;
 				}
 
-				rule.sent('server', now);
+				rule.recordSend('server', now);
 				const sentAt = now;
 				after(random.below(nearDelayMs) + 1, () => {
 					arrive(node, sentAt);
--- a/tests/backend-limits/limit-rules.ts
+++ b/tests/backend-limits/limit-rules.ts
@@ -13,8 +13,8 @@
 export const createSharedRule = (node: LimitNode): LimitRule => {
 	const {peers, reachableFraction} = createSenderNodes({
 		others: node.others,
-		isNear: () => true,
-		lastHeard: node.lastHeard,
+		sharesServers: () => true,
+		lastReceivedAt: node.lastHeard,
 		clock: node.clock,
 	});
 	return createBackendLimits({
@@ -34,11 +34,11 @@
 	let limit: number | undefined;
 	const bucket = createTokenBucket(clock());
 	return {
-		stated(_life, {perSecond}) {
+		recordStatement(_life, {perSecond}) {
 			limit = perSecond;
 		},
-		hear: () => undefined,
-		hasRoom(_life, now) {
+		receive: () => undefined,
+		canSend(_life, now) {
 			if (limit === undefined) {
 				return true;
 			}
@@ -46,7 +46,7 @@
 			bucket.fill(shareOf(limit), now);
 			return bucket.canTake();
 		},
-		sent() {
+		recordSend() {
 			if (limit !== undefined) {
 				bucket.take();
 			}
@@ -58,7 +58,7 @@
 /**
 Each node keeps the whole limit by itself.
 */
-export const createAloneRule = ({clock}: LimitNode): LimitRule =>
+export const createUncoordinatedRule = ({clock}: LimitNode): LimitRule =>
 	createLonelyRule(
 		(perSecond) => ({perSecond, burst: Math.max(1, perSecond)}),
 		clock,
@@ -77,9 +77,9 @@
 Nothing is read.
 */
 export const createNoRule = (): LimitRule => ({
-	stated: () => undefined,
-	hear: () => undefined,
-	hasRoom: () => true,
-	sent: () => undefined,
+	recordStatement: () => undefined,
+	receive: () => undefined,
+	canSend: () => true,
+	recordSend: () => undefined,
 	tick: () => undefined,
 });
--- a/tests/backend-limits/shared-limit.test.ts
+++ b/tests/backend-limits/shared-limit.test.ts
@@ -3,13 +3,13 @@
 import {test, type TestContext} from 'node:test';
 import {
 	mostIn,
-	playLimit,
+	simulateLimit,
 	type LimitArrival,
 	type LimitEvent,
 	type LimitPlan,
 } from './limit-model.ts';
 import {
-	createAloneRule,
+	createUncoordinatedRule,
 	createEqualRule,
 	createSharedRule,
 } from './limit-rules.ts';
@@ -25,7 +25,7 @@
 const spanMs = 25_000;
 
 const play = (change: Partial<LimitPlan> & {readonly perSecond?: number}) =>
-	playLimit({
+	simulateLimit({
 		seed: 1,
 		createRule: createSharedRule,
 		nodes: 9,
@@ -178,7 +178,7 @@
 }
 
 test('the check finds nodes that each count alone', (t: TestContext) => {
-	const alone = play({nodes: 9, createRule: createAloneRule});
+	const alone = play({nodes: 9, createRule: createUncoordinatedRule});
 	t.assert.ok(mostIn(alone, windowMs, namedAt + contactMs) > allowedIn(6));
 	const equal = play({nodes: 65, createRule: createEqualRule, perSecond: 1});
 	t.assert.ok(mostIn(equal, windowMs, namedAt) > allowedIn(1));
--- a/tests/backends/backend-fleet.test.ts
+++ b/tests/backends/backend-fleet.test.ts
@@ -2,14 +2,14 @@
 import {test} from 'node:test';
 import {
 	createBackendFleet,
-	doubtMs,
-	longestSilenceMs,
+	probeAnswerDeadlineMs,
+	maximumSilenceMs,
 	probeIntervalMs,
-	silenceMs,
+	silenceThresholdMs,
 	type BackendFleetOptions,
 	type Placement,
 } from '../../src/backends/index.ts';
-import {createServerRests} from '../../src/server-statements/index.ts';
+import {createServerBackoffs} from '../../src/server-statements/index.ts';
 import {knownServerOf, serviceOf, unlimited} from '../gateway/fixtures.ts';
 
 const setUp = (
@@ -18,7 +18,7 @@
 ) => {
 	const fleet = createBackendFleet({
 		availabilityZone: 'zone-a',
-		nodesEverHeard: () => ['node-1'],
+		knownNodes: () => ['node-1'],
 		senderRank: () => 0,
 		nodesServing: () => 1,
 		service: () =>
@@ -30,10 +30,10 @@
 		coldSlack: 0,
 		mayUseCold: () => true,
 		backendLimits: unlimited,
-		rests: createServerRests(() => 0),
-		keeps: () => false,
-		tellReading: () => undefined,
-		draw: () => 0,
+		backoffs: createServerBackoffs(() => 0),
+		isCached: () => false,
+		sendPrefillBacklog: () => undefined,
+		randomFraction: () => 0,
 		without: new Set(),
 		...change,
 	});
@@ -67,7 +67,7 @@
 	const first = idOf(fleet.choose(placement, 0));
 	for (let index = 0; index < 3; index += 1) {
 		const attempt = fleet.begin(first, placement, 0);
-		attempt.started(1);
+		attempt.recordFirstEvent(1);
 		assert.equal(idOf(fleet.choose(placement, 1)), first);
 	}
 });
@@ -75,45 +75,45 @@
 test('a silent server is asked, and found silent when it does not answer', () => {
 	const fleet = setUp(['a']);
 	fleet.begin('a', placementOf(), 0);
-	assert.deepEqual(fleet.tick(silenceMs), []);
-	assert.deepEqual(fleet.dueProbes(silenceMs), []);
-	const askedAt = silenceMs + 1;
+	assert.deepEqual(fleet.tick(silenceThresholdMs), []);
+	assert.deepEqual(fleet.dueProbes(silenceThresholdMs), []);
+	const askedAt = silenceThresholdMs + 1;
 	assert.deepEqual(fleet.tick(askedAt), []);
 	assert.deepEqual(fleet.dueProbes(askedAt), ['a']);
 	assert.equal(idOf(fleet.choose(placementOf(), askedAt)), 'a');
-	assert.deepEqual(fleet.tick(askedAt + doubtMs - 1), []);
-	const foundAt = askedAt + doubtMs;
+	assert.deepEqual(fleet.tick(askedAt + probeAnswerDeadlineMs - 1), []);
+	const foundAt = askedAt + probeAnswerDeadlineMs;
 	assert.deepEqual(fleet.tick(foundAt), ['a']);
 	assert.equal(idOf(fleet.choose(placementOf(), foundAt)), 'none');
 	const probeAt = foundAt + probeIntervalMs;
 	assert.deepEqual(fleet.dueProbes(probeAt - 1), []);
 	assert.deepEqual(fleet.dueProbes(probeAt), ['a']);
-	fleet.probed('a', undefined, probeAt);
+	fleet.recordProbeResult('a', undefined, probeAt);
 	assert.ok(fleet.isSuspect('a'));
-	fleet.probed('a', 0, probeAt + 1);
+	fleet.recordProbeResult('a', 0, probeAt + 1);
 	assert.ok(!fleet.isSuspect('a'));
 });
 
 test('a silent server that says it lives stays in use, but not for ever', () => {
 	const fleet = setUp(['a']);
 	fleet.begin('a', placementOf(), 0);
-	for (let now = 0; now <= longestSilenceMs; now += 100) {
+	for (let now = 0; now <= maximumSilenceMs; now += 100) {
 		assert.deepEqual(fleet.tick(now), []);
 		for (const id of fleet.dueProbes(now)) {
-			fleet.vouched(id, now + 10);
+			fleet.recordProbeAnswer(id, now + 10);
 		}
 	}
 
-	assert.equal(idOf(fleet.choose(placementOf(), longestSilenceMs)), 'a');
-	assert.deepEqual(fleet.tick(longestSilenceMs + 1), ['a']);
+	assert.equal(idOf(fleet.choose(placementOf(), maximumSilenceMs)), 'a');
+	assert.deepEqual(fleet.tick(maximumSilenceMs + 1), ['a']);
 });
 
 test('a server that answers others is not silent', () => {
 	const fleet = setUp(['a']);
 	fleet.begin('a', placementOf(), 0);
 	const other = fleet.begin('a', placementOf(), 0);
-	other.heard(silenceMs);
-	assert.deepEqual(fleet.tick(silenceMs + 100), []);
+	other.recordActivity(silenceThresholdMs);
+	assert.deepEqual(fleet.tick(silenceThresholdMs + 100), []);
 });
 
 test('a cold server gets its share of a second and no more', () => {
@@ -152,9 +152,9 @@
 
 test('a server that is distrusted is cold until it was asked', () => {
 	const fleet = setUp(['a']);
-	fleet.distrust(['a']);
+	fleet.markPossiblyCold(['a']);
 	assert.deepEqual(fleet.dueProbes(0), ['a']);
-	fleet.probed('a', 0, 1);
+	fleet.recordProbeResult('a', 0, 1);
 	assert.deepEqual(fleet.dueProbes(10_000), []);
 });
 
@@ -162,7 +162,7 @@
 	const chosen = [0, 0.9].map((first) => {
 		const draws = [first, 0.5, 0.5][Symbol.iterator]();
 		const fleet = setUp(['a', 'b', 'c'], {
-			draw: () => draws.next().value ?? 0,
+			randomFraction: () => draws.next().value ?? 0,
 		});
 		return idOf(fleet.choose(placementOf(), 0));
 	});
@@ -183,7 +183,7 @@
 	assert.notEqual(idOf(unknown.choose(placement, 0)), home);
 
 	const keep = () =>
-		setUp(['a', 'b', 'c'], {keeps: (server) => server === home});
+		setUp(['a', 'b', 'c'], {isCached: (server) => server === home});
 	const short = placementOf({promptTokens: 5000, targetMs: 1000});
 	const kept = keep();
 	const roomOfServer = 12;
@@ -213,7 +213,7 @@
 	const home = idOf(fleet.choose(placement, 0));
 	fleet.begin(home, placementOf({promptTokens: 30_000, targetMs: 1000}), 0);
 	const second = idOf(fleet.choose(placement, 0));
-	fleet.begin(second, placement, 0).started(1);
+	fleet.begin(second, placement, 0).recordFirstEvent(1);
 	assert.notEqual(second, home);
 	assert.equal(idOf(fleet.choose(placement, 2)), second);
 });
@@ -276,7 +276,7 @@
 		fleet.begin('a', placementOf(), 100);
 	}
 
-	fleet.slept(5000);
+	fleet.shiftClock(5000);
 	assert.deepEqual(fleet.tick(5200), []);
 	assert.equal(idOf(fleet.choose(placementOf(), 5200)), 'full');
 });
--- a/tests/backends/believed-load.test.ts
+++ b/tests/backends/estimated-load.test.ts
@@ -1,9 +1,9 @@
 import {test, type TestContext} from 'node:test';
 import {
-	believedLoad,
+	estimatedLoad,
 	createBackendFleet,
 	createServerState,
-	statementTrustMs,
+	statedLoadMaximumAgeMs,
 } from '../../src/backends/index.ts';
 import {fleetOptionsOf, knownServerOf} from '../gateway/fixtures.ts';
 
@@ -20,19 +20,19 @@
 ) => ({
 	...createServerState(knownServerOf('a', 8), 0, 0),
 	inFlight,
-	stated,
+	statedLoad: stated,
 });
 
 test('without a statement the other nodes are taken to hold as many requests', (t: TestContext) => {
-	t.assert.strictEqual(believedLoad(stateWith(4), 3, 0), 12);
+	t.assert.strictEqual(estimatedLoad(stateWith(4), 3, 0), 12);
 });
 
 test('what a server states of the others counts, and the less the older it is', (t: TestContext) => {
 	const state = stateWith(4, {others: 20, at: 0});
-	t.assert.strictEqual(believedLoad(state, 3, 0), 24);
-	t.assert.strictEqual(believedLoad(state, 3, statementTrustMs / 2), 18);
-	t.assert.strictEqual(believedLoad(state, 3, statementTrustMs), 12);
-	t.assert.strictEqual(believedLoad(state, 3, statementTrustMs * 9), 12);
+	t.assert.strictEqual(estimatedLoad(state, 3, 0), 24);
+	t.assert.strictEqual(estimatedLoad(state, 3, statedLoadMaximumAgeMs / 2), 18);
+	t.assert.strictEqual(estimatedLoad(state, 3, statedLoadMaximumAgeMs), 12);
+	t.assert.strictEqual(estimatedLoad(state, 3, statedLoadMaximumAgeMs * 9), 12);
 });
 
 test('a server that others have filled is not chosen, one that they left is', (t: TestContext) => {
@@ -43,7 +43,7 @@
 	fleet.sync(new Map(['a', 'b'].map((id) => [id, knownServerOf(id, 4)])), 0);
 	const load = (id: string, running: number, waiting: number) => {
 		const attempt = fleet.begin(id, placement, 0);
-		attempt.stated({running, waiting, slots: 4}, 0);
+		attempt.recordStatedLoad({running, waiting, slots: 4}, 0);
 		attempt.end('answered', 0);
 	};
 
@@ -55,7 +55,7 @@
 	t.assert.strictEqual(fleet.choose(placement, 0).kind, 'full');
 	// By then nothing is left of what was stated.
 	t.assert.strictEqual(
-		fleet.choose(placement, statementTrustMs).kind,
+		fleet.choose(placement, statedLoadMaximumAgeMs).kind,
 		'server',
 	);
 });
@@ -64,14 +64,14 @@
 	const fleet = createBackendFleet(fleetOptionsOf());
 	fleet.sync(new Map(['a', 'b'].map((id) => [id, knownServerOf(id, 64)])), 0);
 	const slow = fleet.begin('a', placement, 0);
-	slow.started(0);
+	slow.recordFirstEvent(0);
 	for (let index = 0; index < 100; index += 1) {
-		slow.paced(400, 0);
+		slow.recordChunkInterval(400, 0);
 	}
 
 	const hold = Array.from({length: 20}, () => {
 		const attempt = fleet.begin('b', placement, 0);
-		attempt.started(0);
+		attempt.recordFirstEvent(0);
 		return attempt;
 	});
 	const idAt = (now: number) => {
--- a/tests/backends/many-nodes.test.ts
+++ b/tests/backends/many-nodes.test.ts
@@ -46,7 +46,7 @@
 			without: new Set(without),
 			nodesServing: () => nodes,
 			service: () => serviceOf({engine: {slots, memoryTokens: 300_000}}),
-			draw: random.fraction,
+			randomFraction: random.fraction,
 		});
 		fleet.sync(new Map(servers.map((id) => [id, knownServerOf(id, slots)])), 0);
 		return fleet;
@@ -82,7 +82,7 @@
 		}
 
 		const attempt = fleet.begin(choice.id, placement, now);
-		attempt.started(now);
+		attempt.recordFirstEvent(now);
 		held.push({attempt, until: now + holdMs});
 		const count = (underWay.get(choice.id) ?? 0) + 1;
 		underWay.set(choice.id, count);
--- a/tests/backends/told-reading.test.ts
+++ b/tests/backends/prefill-backlog.test.ts
@@ -117,17 +117,20 @@
 			without: new Set(without),
 			nodesServing: () => nodeCount,
 			service: () => serviceOf({engine: {slots, memoryTokens: 330_000}}),
-			keeps: (server, part) => kept.get(server)!.has(part),
-			tellReading(server, tokens) {
+			isCached: (server, part) => kept.get(server)!.has(part),
+			sendPrefillBacklog(server, tokens) {
 				sequence += 1;
 				for (const [other, each] of isTold ? fleets.entries() : []) {
 					if (other !== self) {
 						const from = String(self);
-						each.heardReading({from, server, tokens, sequence}, now);
+						each.recordPeerPrefillBacklog(
+							{from, server, tokens, sequence},
+							now,
+						);
 					}
 				}
 			},
-			draw: random.fraction,
+			randomFraction: random.fraction,
 		});
 		fleet.sync(new Map(engines.map((id) => [id, knownServerOf(id, slots)])), 0);
 		return fleet;
@@ -156,7 +159,7 @@
 	};
 
 	const begin = (attempt: BackendAttempt, id: string, part?: string) => {
-		attempt.started(now);
+		attempt.recordFirstEvent(now);
 		if (part !== undefined) {
 			kept.get(id)!.add(part);
 		}
--- a/tests/backends/smoothed-count.test.ts
+++ b/tests/backends/smoothed-count.test.ts
@@ -1,7 +1,7 @@
 import {test, type TestContext} from 'node:test';
 import {
 	createSmoothedCount,
-	heldByOthers,
+	estimatedPeerRequests,
 	smoothingMs,
 } from '../../src/backends/index.ts';
 
@@ -26,7 +26,7 @@
 });
 
 test('others hold as many each as this node, spread over the servers', (t: TestContext) => {
-	t.assert.strictEqual(heldByOthers(2, 65, 16), 8);
-	t.assert.strictEqual(heldByOthers(2, 1, 16), 0);
-	t.assert.strictEqual(heldByOthers(2, 3, 0), 4);
+	t.assert.strictEqual(estimatedPeerRequests(2, 65, 16), 8);
+	t.assert.strictEqual(estimatedPeerRequests(2, 1, 16), 0);
+	t.assert.strictEqual(estimatedPeerRequests(2, 3, 0), 4);
 });
--- a/tests/backends/upstream-client.test.ts
+++ b/tests/backends/upstream-client.test.ts
@@ -3,7 +3,7 @@
 import {test, type TestContext} from 'node:test';
 import {
 	createUpstreamClient,
-	farConnectTimeoutMs,
+	peerConnectTimeoutMs,
 	type UpstreamCall,
 	type UpstreamFailure,
 	type UpstreamHead,
@@ -49,7 +49,7 @@
 	key: address,
 	address,
 	maximumConnections: 1,
-	connectTimeoutMs: farConnectTimeoutMs,
+	connectTimeoutMs: peerConnectTimeoutMs,
 	method: 'GET',
 	target: '/',
 	headers: ['host', 'x'],
@@ -204,13 +204,13 @@
 			waiting.push(socket);
 		}
 	});
-	t.assert.strictEqual(client.hasRestingConnection(address), false);
-	const isResting = () => client.hasRestingConnection(address);
+	t.assert.strictEqual(client.hasIdleConnection(address), false);
+	const isResting = () => client.hasIdleConnection(address);
 	await ask(client, address);
 	await until(isResting);
 	t.assert.strictEqual(isResting(), true);
 	const second = ask(client, address);
-	t.assert.strictEqual(client.hasRestingConnection(address), false);
+	t.assert.strictEqual(client.hasIdleConnection(address), false);
 	await until(() => waiting.length === 1, 100);
 	waiting[0]!.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi');
 	await second;
@@ -239,11 +239,11 @@
 			);
 		});
 	await call(true);
-	await until(() => !client.hasRestingConnection(address));
-	t.assert.ok(!client.hasRestingConnection(address));
+	await until(() => !client.hasIdleConnection(address));
+	t.assert.ok(!client.hasIdleConnection(address));
 	await call(false);
-	await until(() => client.hasRestingConnection(address));
-	t.assert.ok(client.hasRestingConnection(address));
+	await until(() => client.hasIdleConnection(address));
+	t.assert.ok(client.hasIdleConnection(address));
 	t.assert.strictEqual(client.connectionsOpened(), 2);
 });
 
--- a/tests/clients/client-directory.test.ts
+++ b/tests/clients/client-directory.test.ts
@@ -1,7 +1,10 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {countOf, createClientDirectory} from '../../src/clients/index.ts';
+import {
+	limitUnitsUsed,
+	createClientDirectory,
+} from '../../src/clients/index.ts';
 import {sha256} from '../../src/shared/index.ts';
 import {accountOf, routeOf} from '../gateway/fixtures.ts';
 
@@ -69,7 +72,7 @@
 
 test('a request counts one, its tokens, or what plain requests count', () => {
 	const limit = {unit: 'tokens', perSecond: 10, burst: 0, plainTokens: 200};
-	assert.equal(countOf({...limit, unit: 'requests'}, 5000), 1);
-	assert.equal(countOf({...limit, unit: 'tokens'}, 5000), 5000);
-	assert.equal(countOf({...limit, unit: 'tokens'}, undefined), 200);
+	assert.equal(limitUnitsUsed({...limit, unit: 'requests'}, 5000), 1);
+	assert.equal(limitUnitsUsed({...limit, unit: 'tokens'}, 5000), 5000);
+	assert.equal(limitUnitsUsed({...limit, unit: 'tokens'}, undefined), 200);
 });
--- a/tests/digests/digest-table.test.ts
+++ b/tests/digests/digest-table.test.ts
@@ -31,8 +31,8 @@
 		'everywhere',
 		0,
 	);
-	assert.equal(table.everything('a', 0).length, 2);
-	assert.equal(table.everything('b', 0).length, 1);
+	assert.equal(table.allEntries('a', 0).length, 2);
+	assert.equal(table.allEntries('b', 0).length, 1);
 });
 
 test('a message takes entries up to its budget and each is passed on a bounded number of times', () => {
@@ -110,7 +110,7 @@
 test('a node does not take back its own statement from others', () => {
 	const table = create('n');
 	table.put(loads(5), 'availability-zone', 100);
-	const [echo] = table.everything('a', 100);
+	const [echo] = table.allEntries('a', 100);
 	table.put(loads(6), 'availability-zone', 200);
 	table.apply([echo!], 300);
 	assert.equal(table.values('loads', 300)[0]!.value.reports[0]!.running, 6);
--- a/tests/fleet/fleet.test.ts
+++ b/tests/fleet/fleet.test.ts
@@ -72,7 +72,7 @@
 		},
 		0,
 	);
-	assert.ok(loadOf(fleet, defaultFleetParameters.reportDecay) < 3.5);
+	assert.ok(loadOf(fleet, defaultFleetParameters.reportDecayMs) < 3.5);
 });
 
 test('a server that is leaving takes no work, whatever reports follow, until a new process is there', () => {
@@ -145,10 +145,10 @@
 	assert.deepEqual(idsOf(fleet, 0), ['x', 'y']);
 	fail(0);
 	assert.deepEqual(idsOf(fleet, 0), ['y']);
-	const {ejection} = defaultFleetParameters;
-	assert.deepEqual(idsOf(fleet, ejection + 1), ['x', 'y']);
-	fail(ejection + 1);
-	assert.deepEqual(idsOf(fleet, 2 * ejection + 2), ['y']);
+	const {ejectionMs} = defaultFleetParameters;
+	assert.deepEqual(idsOf(fleet, ejectionMs + 1), ['x', 'y']);
+	fail(ejectionMs + 1);
+	assert.deepEqual(idsOf(fleet, 2 * ejectionMs + 2), ['y']);
 	fleet.handle({kind: 'attempt-started', backendServer: 'x'}, 100_000);
 	fleet.handle(
 		{kind: 'attempt-ended', backendServer: 'x', end: 'answered'},
@@ -225,7 +225,7 @@
 	fleet.handle({kind: 'resting', backendServer: 'x', until: 3000}, 0);
 	fleet.handle({kind: 'resting', backendServer: 'x', until: 1000}, 100);
 	assert.deepEqual(idsOf(fleet, 2999), ['y']);
-	assert.equal(fleet.restLeftMs('x', 1000), 2000);
+	assert.equal(fleet.backoffRemainingMs('x', 1000), 2000);
 	assert.deepEqual(idsOf(fleet, 3000), ['x', 'y']);
 	assert.ok(fleet.candidate('x', 3000)!.weight < 0.1);
 });
--- a/tests/gateway/choosing/choose-upstream.test.ts
+++ b/tests/gateway/choosing/choose-upstream.test.ts
@@ -7,7 +7,7 @@
 } from '../../../src/backends/index.ts';
 import {createUpstreamChooser} from '../../../src/gateway/choosing/choose-upstream.ts';
 import type {Exchange} from '../../../src/gateway/exchange.ts';
-import type {Without} from '../../../src/mechanisms/index.ts';
+import type {DisabledMechanisms} from '../../../src/mechanisms/index.ts';
 import {createRandom} from '../../../src/shared/index.ts';
 import {memberOf} from '../../fixtures.ts';
 import {exchangeOf, fleetOptionsOf, routeOf} from '../fixtures.ts';
@@ -20,12 +20,12 @@
 	readonly members?: readonly string[];
 	readonly nodesPerRegion?: number;
 	readonly connected?: readonly string[];
-	readonly without?: Without;
+	readonly without?: DisabledMechanisms;
 }) => {
 	const fleet = createBackendFleet(
 		fleetOptionsOf({
 			availabilityZone: 'home',
-			nodesEverHeard: () => ['self'],
+			knownNodes: () => ['self'],
 		}),
 	);
 	fleet.sync(
@@ -50,7 +50,7 @@
 	);
 	const choose = createUpstreamChooser({
 		self: () => memberOf('self', 'home'),
-		ownRegion: 'home',
+		localRegion: 'home',
 		without: options.without ?? new Set(),
 		fleet,
 		regions: ['home', 'near', 'far'],
@@ -68,7 +68,7 @@
 						id: options.promptServer ?? 'server',
 						region: options.promptRegion,
 					},
-		hasRestingConnection: ({id}) => options.connected?.includes(id) ?? false,
+		hasIdleConnection: ({id}) => options.connected?.includes(id) ?? false,
 		random: createRandom(1),
 	});
 	return {fleet, choose};
@@ -209,7 +209,7 @@
 	assert.ok(new Set(all).size > 3);
 });
 
-const nearbyNodes = (without: Without) => {
+const nearbyNodes = (without: DisabledMechanisms) => {
 	const placement = placementOf({sharedPart: {id: 'p', tokens: 9000}});
 	return Array.from({length: 60}, (_, index) => {
 		const {choose} = setUp({
--- a/tests/gateway/choosing/prompt-home.test.ts
+++ b/tests/gateway/choosing/prompt-home.test.ts
@@ -3,11 +3,11 @@
 import {
 	findPromptHome,
 	weighRegions,
-	type PromptHolder,
+	type PromptCandidate,
 } from '../../../src/gateway/choosing/prompt-home.ts';
 import {routeOf} from '../fixtures.ts';
 
-const holders: readonly PromptHolder[] = ['a', 'a', 'b', 'b', 'c', 'c'].map(
+const holders: readonly PromptCandidate[] = ['a', 'a', 'b', 'b', 'c', 'c'].map(
 	(region, index) => ({id: `server-${index}`, region}),
 );
 const even = new Map([
--- a/tests/gateway/client-limit-log.test.ts
+++ b/tests/gateway/client-limit-log.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {
 	createClientLimitLog,
-	freeAfterMs,
+	unlimitedAfterMs,
 } from '../../src/gateway/client-limit-log.ts';
 
 test('one line tells that an account is limited, and one that it is not any more', () => {
@@ -13,7 +13,11 @@
 
 	const log = createClientLimitLog(
 		{debug: note, info: note, warn: note, error: note},
-		() => ({part: 0.25, usage: {asked: 400, passed: 900}, ageMs: 120.4}),
+		() => ({
+			admissionFraction: 0.25,
+			usage: {requested: 400, admitted: 900},
+			ageMs: 120.4,
+		}),
 	);
 	log.note('account', {kind: 'admitted'}, 0);
 	for (let at = 100; at < 1000; at += 10) {
@@ -21,9 +25,9 @@
 		log.tick(at);
 	}
 
-	log.tick(990 + freeAfterMs);
+	log.tick(990 + unlimitedAfterMs);
 	assert.equal(lines.length, 1);
-	log.tick(991 + freeAfterMs);
+	log.tick(991 + unlimitedAfterMs);
 	assert.deepEqual(lines, [
 		[
 			'client account is limited',
--- a/tests/gateway/crashing-request.test.ts
+++ b/tests/gateway/crashing-request.test.ts
@@ -9,7 +9,7 @@
 import {request} from 'undici';
 import {
 	startCrashingServer,
-	type RunBook,
+	type RunLog,
 } from '../../stand-ins/crashing-server.ts';
 import {startGateways} from '../../stand-ins/gateways.ts';
 import {createStandInRegistry, writeRoutes} from '../../stand-ins/registry.ts';
@@ -61,7 +61,7 @@
 const setUp = async (t: TestContext, route: Partial<Route>) => {
 	const registry = createStandInRegistry();
 	const deployment = await startGateways(zones, nodes, registry);
-	const book: RunBook = {runs: [], crashes: []};
+	const book: RunLog = {runs: [], crashes: []};
 	writeRoutes(
 		registry,
 		documentOf({
@@ -110,7 +110,7 @@
 };
 
 // What reached servers later than the nodes had to tell each other of the third crash.
-const lateSends = ({runs, crashes}: RunBook): number => {
+const lateSends = ({runs, crashes}: RunLog): number => {
 	const third = crashes[borneCrashes - 1]?.at ?? Infinity;
 	return runs.filter(
 		({at, body}) => body === fatalBody && at > third + tellingMs,
--- a/tests/gateway/delivery/room-outlook.test.ts
+++ b/tests/gateway/delivery/capacity-forecast.test.ts
@@ -1,15 +1,15 @@
 import {test, type TestContext} from 'node:test';
 import fc from 'fast-check';
 import {
-	assumedPerSecond,
-	createRoomOutlook,
-	outlookMs,
-} from '../../../src/gateway/delivery/room-outlook.ts';
+	assumedReleasesPerSecond,
+	createCapacityForecast,
+	forecastWindowMs,
+} from '../../../src/gateway/delivery/capacity-forecast.ts';
 
 test('room is expected as often as it became free lately', (t: TestContext) => {
-	const outlook = createRoomOutlook();
+	const outlook = createCapacityForecast();
 	for (let index = 0; index < 40; index += 1) {
-		outlook.freed('engine', index * 50);
+		outlook.noteRelease('engine', index * 50);
 	}
 
 	// Forty in two seconds: one each 50 ms.
@@ -18,18 +18,21 @@
 });
 
 test('where none became free a modest rate is assumed', (t: TestContext) => {
-	const outlook = createRoomOutlook();
-	const expected = 1000 / assumedPerSecond;
+	const outlook = createCapacityForecast();
+	const expected = 1000 / assumedReleasesPerSecond;
 	t.assert.strictEqual(outlook.waitMs('engine', 0, 0), expected);
-	outlook.freed('engine', 0);
-	t.assert.strictEqual(outlook.waitMs('engine', 0, outlookMs + 1), expected);
+	outlook.noteRelease('engine', 0);
+	t.assert.strictEqual(
+		outlook.waitMs('engine', 0, forecastWindowMs + 1),
+		expected,
+	);
 	t.assert.strictEqual(outlook.waitMs('other', 0, 0), expected);
 });
 
 test('who is refused later is told to come back later', (t: TestContext) => {
-	const outlook = createRoomOutlook();
+	const outlook = createCapacityForecast();
 	const first = outlook.waitMs('engine', 3, 0);
-	outlook.refused('engine', 0);
+	outlook.noteRefusal('engine', 0);
 	t.assert.ok(outlook.waitMs('engine', 3, 0) > first);
 });
 
@@ -40,9 +43,9 @@
 			fc.nat(200),
 			fc.nat(6000),
 			(freed, before, now) => {
-				const outlook = createRoomOutlook();
+				const outlook = createCapacityForecast();
 				for (const at of freed.toSorted((left, right) => left - right)) {
-					outlook.freed('engine', at);
+					outlook.noteRelease('engine', at);
 				}
 
 				const wait = outlook.waitMs('engine', before, now);
--- a/tests/gateway/delivery/connection-warmer.test.ts
+++ b/tests/gateway/delivery/connection-warmer.test.ts
@@ -5,8 +5,8 @@
 } from '../../../src/backends/index.ts';
 import {
 	createConnectionWarmer,
-	restingPerRegion,
-	warmEveryMs,
+	idleConnectionsPerRegion,
+	warmIntervalMs,
 	warmTimeoutMs,
 } from '../../../src/gateway/delivery/connection-warmer.ts';
 import {createRandom} from '../../../src/shared/index.ts';
@@ -34,7 +34,7 @@
 					resume: () => undefined,
 				};
 			},
-			hasRestingConnection: (key) => resting.has(key),
+			hasIdleConnection: (key) => resting.has(key),
 		},
 		otherRegions: ['near', 'far'],
 		membersIn: (region) =>
@@ -64,12 +64,12 @@
 			answer(entry);
 		}
 
-		now += warmEveryMs;
+		now += warmIntervalMs;
 	}
 
 	const keys = opened.map(({call}) => call.key);
 	t.assert.strictEqual(new Set(keys).size, keys.length);
-	t.assert.strictEqual(keys.length, 2 * restingPerRegion);
+	t.assert.strictEqual(keys.length, 2 * idleConnectionsPerRegion);
 });
 
 test('a connection that was closed is replaced', (t: TestContext) => {
@@ -79,22 +79,22 @@
 		answer(entry);
 	}
 
-	warmer.tick(warmEveryMs);
+	warmer.tick(warmIntervalMs);
 	for (const entry of opened.slice(2)) {
 		answer(entry);
 	}
 
-	warmer.tick(2 * warmEveryMs);
+	warmer.tick(2 * warmIntervalMs);
 	t.assert.strictEqual(opened.length, 4);
 	resting.delete(opened[0]!.call.key);
-	warmer.tick(3 * warmEveryMs);
+	warmer.tick(3 * warmIntervalMs);
 	t.assert.strictEqual(opened.length, 5);
 });
 
 test('a node that does not answer is given up, and another may be tried', (t: TestContext) => {
 	const {opened, warmer} = setUp();
 	warmer.tick(0);
-	warmer.tick(warmEveryMs);
+	warmer.tick(warmIntervalMs);
 	t.assert.strictEqual(opened.length, 2);
 	warmer.tick(warmTimeoutMs);
 	t.assert.deepStrictEqual(
@@ -107,6 +107,6 @@
 	const {opened, warmer} = setUp();
 	warmer.tick(0);
 	opened[0]!.listener.onFailure({wasSent: false, reason: 'refused'});
-	warmer.tick(warmEveryMs);
+	warmer.tick(warmIntervalMs);
 	t.assert.strictEqual(opened.length, 3);
 });
--- a/tests/gateway/delivery/delivery.test.ts
+++ b/tests/gateway/delivery/delivery.test.ts
@@ -12,21 +12,21 @@
 import {leastUrgent} from '../../../src/gateway/wire-headers.ts';
 import {createDeliveries} from '../../../src/gateway/delivery/delivery.ts';
 import type {
-	AnswerSink,
+	ResponseSink,
 	DeliveryRecord,
 	Exchange,
 } from '../../../src/gateway/exchange.ts';
 import {silentLogger} from '../../../src/logging/index.ts';
 import {
-	createServerStandings,
-	createStatementIntake,
+	createServerAnnouncements,
+	createStatementHandler,
 } from '../../../src/server-statements/index.ts';
-import type {Standing} from '../../../src/quarantine/index.ts';
+import type {QuarantineStatus} from '../../../src/quarantine/index.ts';
 import {createWindowRetryBudget} from '../../../src/retries/index.ts';
 import type {Route} from '../../../src/routes/index.ts';
 import {hopHeaders} from '../../../src/gateway/delivery/hop.ts';
-import {assumedPerSecond} from '../../../src/gateway/delivery/room-outlook.ts';
-import {isolationPatienceMs} from '../../../src/gateway/delivery/wait-for-room.ts';
+import {assumedReleasesPerSecond} from '../../../src/gateway/delivery/capacity-forecast.ts';
+import {maximumIsolationWaitMs} from '../../../src/gateway/delivery/wait-for-capacity.ts';
 import {fingerprintOfExchange} from '../../../src/gateway/fingerprint-of-exchange.ts';
 import {createRouteDurations} from '../../../src/gateway/delivery/route-durations.ts';
 import {limitsOf} from '../../backend-limits/fixtures.ts';
@@ -52,20 +52,20 @@
 	hasSettled = true,
 	choose?: UpstreamChooser,
 	isClientKnown: () => boolean = () => true,
-	standing: () => Standing = () => ({kind: 'clear'}),
+	quarantineStatus: () => QuarantineStatus = () => ({kind: 'clear'}),
 ) => {
 	let now = 0;
 	const clock = () => now;
 	const sent: Sent[] = [];
 	const records: DeliveryRecord[] = [];
 	const backendLimits = limitsOf();
-	const standings = createServerStandings({
+	const announcements = createServerAnnouncements({
 		logger: silentLogger,
 		onLeaving: () => undefined,
-		draw: () => 0,
+		randomFraction: () => 0,
 	});
 	const fleet = createBackendFleet(
-		fleetOptionsOf({backendLimits, rests: standings.rests}),
+		fleetOptionsOf({backendLimits, backoffs: announcements.backoffs}),
 	);
 	fleet.sync(new Map(servers.map((id) => [id, knownServerOf(id, 1)])), now);
 	const deliveries = createDeliveries({
@@ -87,33 +87,33 @@
 			},
 			forget: () => undefined,
 			connectionsOpened: () => 0,
-			hasRestingConnection: () => false,
+			hasIdleConnection: () => false,
 			close: async () => undefined,
 		},
 		choose:
 			choose ??
 			((_exchange, _tried, placement) => fleet.choose(placement, now)),
 		budget: createWindowRetryBudget({ratio: 0, windowMs: 10_000, slack}),
-		nodes: () => 1,
+		budgetNodes: () => 1,
 		hasSettled: () => hasSettled,
 		durations: createRouteDurations(),
-		connectionsTo: () => ({maximum: 10, isKept: true}),
+		connectionShare: () => ({maximum: 10, isPersistent: true}),
 		routesVersion: () => 1,
 		isServedHere: () => true,
 		isClientKnown,
 		onPeerFailure: () => undefined,
 		onServerFailure: () => undefined,
-		onBroken: () => undefined,
+		onCallBroken: () => undefined,
 		onServed: () => undefined,
-		standing,
-		statements: createStatementIntake({
+		quarantineStatus,
+		statements: createStatementHandler({
 			headers: names,
-			onLeaving: standings.leaves,
-			onRest: standings.asksForRest,
-			onLimit: backendLimits.stated,
+			onLeaving: announcements.recordShutdown,
+			onBackoff: announcements.recordBackoff,
+			onLimit: backendLimits.recordStatement,
 			onFault: () => undefined,
 		}),
-		standings,
+		announcements,
 		canReceive: () => true,
 		backendLimits,
 		onWaiting: () => undefined,
@@ -140,7 +140,7 @@
 		isBroken: false,
 		error: undefined as GatewayError | undefined,
 	};
-	const sink: AnswerSink = {
+	const sink: ResponseSink = {
 		begin(status) {
 			seen.status = status;
 		},
@@ -152,7 +152,7 @@
 			seen.text += chunk?.toString() ?? '';
 			seen.isEnded = true;
 		},
-		breakOff() {
+		abort() {
 			seen.isBroken = true;
 		},
 		refuse(error) {
@@ -235,7 +235,7 @@
 	deliveries.deliver(exchangeFor({}, {client}), createSink().sink);
 	const {sink, seen} = createSink();
 	deliveries.deliver(exchangeFor({}, {client}), sink);
-	assert.equal(deliveries.waiting(), 1);
+	assert.equal(deliveries.queuedCount(), 1);
 	isKnown = false;
 	answer(sent[0]!, 200, signed);
 	sent[0]!.listener.onEnd();
@@ -317,7 +317,7 @@
 
 	// Half of its four seconds is left for the answer, of a route of which nothing is known.
 	pass(1800);
-	assert.equal(deliveries.waiting(), 1);
+	assert.equal(deliveries.queuedCount(), 1);
 	pass(200);
 	const {error} = seen[2]!.seen;
 	assert.equal(error?.kind, 'overloaded');
@@ -327,7 +327,7 @@
 test('a request that room is not predicted for in time is refused at once, the later the longer', () => {
 	const {deliveries} = setUp(['a']);
 	const times: number[] = [];
-	const mostWaiting = 2 * assumedPerSecond;
+	const mostWaiting = 2 * assumedReleasesPerSecond;
 	for (let index = 0; index < mostWaiting + 4; index += 1) {
 		const {sink, seen} = createSink();
 		deliveries.deliver(exchangeFor({}), sink);
@@ -338,7 +338,7 @@
 	}
 
 	// Two run, and of the others those wait that get room within two seconds.
-	assert.equal(deliveries.waiting(), mostWaiting - 1);
+	assert.equal(deliveries.queuedCount(), mostWaiting - 1);
 	assert.equal(times.length, 3);
 	assert.ok(times[0]! < times[1]! && times[1]! < times[2]!);
 });
@@ -353,7 +353,7 @@
 			seen.error?.message,
 			hasSettled ? 'No backend server that may serve it is in use' : undefined,
 		);
-		assert.equal(deliveries.waiting(), hasSettled ? 0 : 1);
+		assert.equal(deliveries.queuedCount(), hasSettled ? 0 : 1);
 	}
 });
 
@@ -417,12 +417,12 @@
 	const single = createSink();
 	deliveries.deliver(exchangeFor({}), repeatable.sink);
 	const silent = sent[0]!.call.key.replace('server ', '');
-	deliveries.serverSilent(silent);
+	deliveries.serverStoppedResponding(silent);
 	assert.equal(sent.length, 2);
 	assert.ok(sent[0]!.isAborted);
 	deliveries.deliver(exchangeFor({kind: 'non-idempotent'}), single.sink);
 	const at = sent[2]!.call.key.replace('server ', '');
-	deliveries.serverSilent(at);
+	deliveries.serverStoppedResponding(at);
 	assert.ok(!sent[2]!.isAborted);
 });
 
@@ -517,8 +517,10 @@
 	assert.equal(seen.error?.kind, 'overloaded');
 });
 
-const setUpStanding = (standing: () => Standing, servers = ['a', 'b', 'c']) =>
-	setUp(servers, 1000, true, undefined, undefined, standing);
+const setUpStanding = (
+	quarantineStatus: () => QuarantineStatus,
+	servers = ['a', 'b', 'c'],
+) => setUp(servers, 1000, true, undefined, undefined, quarantineStatus);
 
 test('a request in quarantine is refused as not run, with the time until when', () => {
 	const {deliveries, sent, records} = setUpStanding(() => ({
@@ -535,22 +537,22 @@
 });
 
 test('one that is found out while it is under way is taken from its server, and may have run', () => {
-	let current: Standing = {kind: 'clear'};
+	let current: QuarantineStatus = {kind: 'clear'};
 	const {deliveries, sent} = setUpStanding(() => current);
 	const {sink, seen} = createSink();
 	const exchange = exchangeFor({});
 	deliveries.deliver(exchange, sink);
 	current = {kind: 'quarantined', until: 90_000};
-	deliveries.quarantined('the fingerprint of another');
+	deliveries.cancelQuarantined('the fingerprint of another');
 	assert.equal(sent[0]!.isAborted, false);
-	deliveries.quarantined(fingerprintOfExchange(exchange));
+	deliveries.cancelQuarantined(fingerprintOfExchange(exchange));
 	assert.equal(sent[0]!.isAborted, true);
 	assert.equal(seen.error?.kind, 'attempt-failed');
 	assert.equal(seen.error.outcome, 'unknown');
 });
 
 test('one whose crash others have still to tell of is held back, and goes on when it is cleared', () => {
-	let current: Standing = {kind: 'pending'};
+	let current: QuarantineStatus = {kind: 'pending'};
 	const {deliveries, sent, pass} = setUpStanding(() => current);
 	deliveries.deliver(exchangeFor({}), createSink().sink);
 	assert.equal(sent.length, 0);
@@ -572,6 +574,6 @@
 		sent.map(({call}) => call.key),
 		['server a', 'server b'],
 	);
-	pass(isolationPatienceMs + 1);
+	pass(maximumIsolationWaitMs + 1);
 	assert.equal(sent.length, 3);
 });
--- a/tests/gateway/delivery/event-relay.test.ts
+++ b/tests/gateway/delivery/event-relay.test.ts
@@ -50,11 +50,11 @@
 	const relay = createEventRelay(undefined);
 	const text = eventsFrom(1, 2, '\r\n');
 	assert.equal(relay.push(Buffer.from(text))?.toString(), text);
-	assert.ok(!relay.hasRest());
+	assert.ok(!relay.hasPartialEvent());
 });
 
 test('half an event is not passed on', () => {
 	const relay = createEventRelay(undefined);
 	assert.equal(relay.push(Buffer.from('id: 1\ndata: ha'))?.length, 0);
-	assert.ok(relay.hasRest());
+	assert.ok(relay.hasPartialEvent());
 });
--- a/tests/gateway/delivery/hop.test.ts
+++ b/tests/gateway/delivery/hop.test.ts
@@ -57,7 +57,7 @@
 		fc.property(fc.string({unit: 'binary'}), (reason) => {
 			const headers = encodeHopResult({
 				kind: 'refused',
-				roomInMs: 1500,
+				availableInMs: 1500,
 				outcome: 'not-run',
 				reason,
 				tried: ['x'],
@@ -66,7 +66,7 @@
 			assert.strictEqual(result.kind, 'refused');
 			assert.equal(result.outcome, 'not-run');
 			assert.ok(isPrintable(result.reason));
-			assert.equal(result.roomInMs, 1500);
+			assert.equal(result.availableInMs, 1500);
 		}),
 	);
 });
--- a/tests/gateway/delivery/note-statements.test.ts
+++ b/tests/gateway/delivery/record-statements.test.ts
@@ -1,14 +1,14 @@
 import {test, type TestContext} from 'node:test';
 import {hopHeaders} from '../../../src/gateway/delivery/hop.ts';
-import {noteStatements} from '../../../src/gateway/delivery/note-statements.ts';
+import {recordStatements} from '../../../src/gateway/delivery/record-statements.ts';
 import type {DeliveryContext} from '../../../src/gateway/delivery/delivery-context.ts';
 import {
 	createDeliveryRun,
 	type CurrentCall,
 } from '../../../src/gateway/delivery/delivery-run.ts';
-import type {AnswerSink} from '../../../src/gateway/exchange.ts';
+import type {ResponseSink} from '../../../src/gateway/exchange.ts';
 import {
-	createServerRests,
+	createServerBackoffs,
 	noStatements,
 	type StatedAnswer,
 } from '../../../src/server-statements/index.ts';
@@ -22,13 +22,16 @@
 	const heard: StatedAnswer[] = [];
 	const context: Pick<
 		DeliveryContext,
-		'clock' | 'headers' | 'standings' | 'statements' | 'without'
+		'clock' | 'headers' | 'announcements' | 'statements' | 'without'
 	> = {
 		clock: () => 50,
 		headers: names,
-		standings: {sent: () => undefined, rests: createServerRests(() => 0)},
+		announcements: {
+			recordSend: () => undefined,
+			backoffs: createServerBackoffs(() => 0),
+		},
 		statements: {
-			heard(answer) {
+			handle(answer) {
 				heard.push(answer);
 				return noStatements;
 			},
@@ -39,15 +42,15 @@
 		open: () => ({abort: () => undefined, resume: () => undefined}),
 		attempt: undefined,
 		server: undefined,
-		life: undefined,
+		incarnationId: undefined,
 		sentAt: 10,
 		member: undefined,
 		region: undefined,
 		...call,
 	};
-	noteStatements(
+	recordStatements(
 		context as DeliveryContext,
-		createDeliveryRun(exchangeOf(), {} as AnswerSink),
+		createDeliveryRun(exchangeOf(), {} as ResponseSink),
 		current,
 		{
 			status: 200,
@@ -58,7 +61,7 @@
 	return heard;
 };
 
-const direct = {server: 'a', life: 'a 1'};
+const direct = {server: 'a', incarnationId: 'a 1'};
 const relayed = {member: memberOf('node-2', 'zone-b'), region: 'north'};
 
 for (const {name, call, headers, source} of [
@@ -94,7 +97,7 @@
 	test(`the statements of ${name} are attributed to the life of its server`, (t: TestContext) => {
 		const [answer, ...others] = heardOf(call, headers);
 		t.assert.deepStrictEqual(
-			[answer?.server, answer?.life, answer?.source],
+			[answer?.server, answer?.incarnationId, answer?.source],
 			['a', 'a 1', source],
 		);
 		t.assert.strictEqual(others.length, 0);
--- a/tests/gateway/delivery/waiting-requests.test.ts
+++ b/tests/gateway/delivery/request-queue.test.ts
@@ -1,32 +1,32 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	createWaitingRequests,
-	type WaitingRequest,
-} from '../../../src/gateway/delivery/waiting-requests.ts';
+	createRequestQueue,
+	type QueuedRequest,
+} from '../../../src/gateway/delivery/request-queue.ts';
 
-const waiterOf = (change: Partial<WaitingRequest> = {}): WaitingRequest => ({
+const waiterOf = (change: Partial<QueuedRequest> = {}): QueuedRequest => ({
 	priority: 0,
-	since: 0,
-	lateAt: 1000,
-	until: 100,
+	queuedAt: 0,
+	targetAt: 1000,
+	expiresAt: 100,
 	service: 'engine',
-	roomKey: 'engine',
-	roomInMs: () => 0,
-	attempt: () => true,
+	placementKey: 'engine',
+	capacityWaitMs: () => 0,
+	trySend: () => true,
 	giveUp: () => undefined,
 	...change,
 });
 
 test('one try for each kind of request shows that there is no room', () => {
-	const line = createWaitingRequests();
+	const line = createRequestQueue();
 	const tried: string[] = [];
-	const add = (roomKey: string, hasRoom: boolean) => {
+	const add = (placementKey: string, hasRoom: boolean) => {
 		line.add(
 			waiterOf({
-				roomKey,
-				attempt() {
-					tried.push(roomKey);
+				placementKey,
+				trySend() {
+					tried.push(placementKey);
 					return hasRoom;
 				},
 			}),
@@ -37,20 +37,20 @@
 	add('engine', false);
 	add('plain', true);
 	add('engine', false);
-	line.pump(0);
+	line.dispatch(0);
 	assert.deepEqual(tried, ['engine', 'plain']);
 	assert.equal(line.length(), 3);
 });
 
 test('the most urgent goes first, and of equals the one that came first', () => {
-	const line = createWaitingRequests();
+	const line = createRequestQueue();
 	const sent: string[] = [];
-	const add = (name: string, priority: number, since: number) => {
+	const add = (name: string, priority: number, queuedAt: number) => {
 		line.add(
 			waiterOf({
 				priority,
-				since,
-				attempt() {
+				queuedAt,
+				trySend() {
 					sent.push(name);
 					return true;
 				},
@@ -61,18 +61,18 @@
 	add('late', 1, 5);
 	add('later', 1, 6);
 	add('urgent', 0, 9);
-	line.pump(0);
+	line.dispatch(0);
 	assert.deepEqual(sent, ['urgent', 'late', 'later']);
 	assert.equal(line.length(), 0);
 });
 
 test('a request that waited for as long as it may is given up', () => {
-	const line = createWaitingRequests();
+	const line = createRequestQueue();
 	const givenUp: string[] = [];
-	const add = (name: string, until: number) => {
+	const add = (name: string, expiresAt: number) => {
 		line.add(
 			waiterOf({
-				until,
+				expiresAt,
 				giveUp() {
 					givenUp.push(name);
 				},
@@ -88,14 +88,14 @@
 });
 
 test('of equally urgent ones those that are late already stand back', () => {
-	const line = createWaitingRequests();
+	const line = createRequestQueue();
 	const sent: string[] = [];
-	const add = (name: string, lateAt: number, priority = 0) => {
+	const add = (name: string, targetAt: number, priority = 0) => {
 		line.add(
 			waiterOf({
-				lateAt,
+				targetAt,
 				priority,
-				attempt() {
+				trySend() {
 					sent.push(name);
 					return true;
 				},
@@ -106,20 +106,20 @@
 	add('late', 5);
 	add('in time', 50);
 	add('less urgent', 50, 1);
-	line.pump(10);
+	line.dispatch(10);
 	assert.deepEqual(sent, ['in time', 'late', 'less urgent']);
 });
 
 test('who will not get room is given up, and those behind move up', () => {
-	const line = createWaitingRequests();
+	const line = createRequestQueue();
 	const judged: Array<readonly [string, number]> = [];
-	for (const roomKey of ['a', 'b', 'c']) {
-		line.add(waiterOf({roomKey}));
+	for (const placementKey of ['a', 'b', 'c']) {
+		line.add(waiterOf({placementKey}));
 	}
 
-	line.expire(0, ({roomKey}, before) => {
-		judged.push([roomKey, before]);
-		return roomKey === 'b';
+	line.expire(0, ({placementKey}, before) => {
+		judged.push([placementKey, before]);
+		return placementKey === 'b';
 	});
 	assert.deepEqual(judged, [
 		['a', 0],
@@ -127,6 +127,6 @@
 		['c', 1],
 	]);
 	assert.equal(line.length(), 2);
-	assert.equal(line.before('engine', 0), 2);
-	assert.equal(line.before('other', 0), 0);
+	assert.equal(line.countAhead('engine', 0), 2);
+	assert.equal(line.countAhead('other', 0), 0);
 });
--- a/tests/gateway/delivery/route-durations.test.ts
+++ b/tests/gateway/delivery/route-durations.test.ts
@@ -1,31 +1,31 @@
 import {test, type TestContext} from 'node:test';
 import {
 	createRouteDurations,
-	rememberedRequests,
+	samplesPerRoute,
 } from '../../../src/gateway/delivery/route-durations.ts';
 
 test('nothing is said of a route that was hardly seen', (t: TestContext) => {
 	const durations = createRouteDurations();
 	for (let index = 0; index < 7; index += 1) {
-		durations.note('route', 10);
+		durations.record('route', 10);
 	}
 
-	t.assert.strictEqual(durations.within('route', 0.5), undefined);
-	durations.note('route', 10);
-	t.assert.strictEqual(durations.within('route', 0.5), 10);
-	t.assert.strictEqual(durations.within('other', 0.5), undefined);
+	t.assert.strictEqual(durations.quantileMs('route', 0.5), undefined);
+	durations.record('route', 10);
+	t.assert.strictEqual(durations.quantileMs('route', 0.5), 10);
+	t.assert.strictEqual(durations.quantileMs('other', 0.5), undefined);
 });
 
 test('the latest requests count, and the part that is asked for', (t: TestContext) => {
 	const durations = createRouteDurations();
 	for (let index = 0; index < 500; index += 1) {
-		durations.note('route', 9000);
+		durations.record('route', 9000);
 	}
 
-	for (let index = 1; index <= rememberedRequests; index += 1) {
-		durations.note('route', index);
+	for (let index = 1; index <= samplesPerRoute; index += 1) {
+		durations.record('route', index);
 	}
 
-	t.assert.strictEqual(durations.within('route', 1), rememberedRequests);
-	t.assert.strictEqual(durations.within('route', 0.5), 32.5);
+	t.assert.strictEqual(durations.quantileMs('route', 1), samplesPerRoute);
+	t.assert.strictEqual(durations.quantileMs('route', 0.5), 32.5);
 });
--- a/tests/gateway/fixtures.ts
+++ b/tests/gateway/fixtures.ts
@@ -3,7 +3,7 @@
 import type {Exchange} from '../../src/gateway/exchange.ts';
 import type {KnownServer} from '../../src/registry/index.ts';
 import type {Route, RouteDocument, Service} from '../../src/routes/index.ts';
-import {createServerRests} from '../../src/server-statements/index.ts';
+import {createServerBackoffs} from '../../src/server-statements/index.ts';
 import {sha256} from '../../src/shared/index.ts';
 
 export {standInHeaders as names} from '../../stand-ins/stand-in-headers.ts';
@@ -103,10 +103,10 @@
 No server names a limit.
 */
 export const unlimited: BackendFleetOptions['backendLimits'] = {
-	areThere: () => false,
-	hasRoom: () => true,
+	hasAny: () => false,
+	canSend: () => true,
 	rateOf: () => undefined,
-	sent: () => undefined,
+	recordSend: () => undefined,
 };
 
 /**
@@ -116,18 +116,18 @@
 	change: Partial<BackendFleetOptions> = {},
 ): BackendFleetOptions => ({
 	availabilityZone: 'zone-a',
-	nodesEverHeard: () => ['node-1'],
+	knownNodes: () => ['node-1'],
 	senderRank: () => 0,
 	nodesServing: () => 1,
 	service: () => serviceOf(),
 	coldOverrun: 1,
 	coldSlack: 0,
 	mayUseCold: () => true,
-	keeps: () => false,
-	tellReading: () => undefined,
+	isCached: () => false,
+	sendPrefillBacklog: () => undefined,
 	backendLimits: unlimited,
-	rests: createServerRests(() => 0),
-	draw: () => 0,
+	backoffs: createServerBackoffs(() => 0),
+	randomFraction: () => 0,
 	without: new Set(),
 	...change,
 });
--- a/tests/gateway/gateway-observer.test.ts
+++ b/tests/gateway/gateway-observer.test.ts
@@ -20,10 +20,17 @@
 		logger: {debug: write, info: write, warn: write, error: write},
 		limitStates: () =>
 			new Map([
-				['account', {part: 0.5, usage: {asked: 40, passed: 300}, ageMs: 10}],
+				[
+					'account',
+					{
+						admissionFraction: 0.5,
+						usage: {requested: 40, admitted: 300},
+						ageMs: 10,
+					},
+				],
 			]),
 		gauges: {someGauge: () => 7},
-		inputs: () => ({routesVersion: 3, registryAgeMs: 250}),
+		logContext: () => ({routesVersion: 3, registryAgeMs: 250}),
 	});
 	observer.tick(1000);
 	return {observer, lines};
--- a/tests/gateway/intake/entry-members.test.ts
+++ b/tests/gateway/intake/entry-members.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {entriesFor} from '../../../src/gateway/intake/entry-members.ts';
+import {selectEntryMembers} from '../../../src/gateway/intake/entry-members.ts';
 import {memberOf} from '../../fixtures.ts';
 
 // Zones a1 and a2 are in region a.
 const idsFor = (ids: readonly string[], availabilityZone: string) =>
-	entriesFor({
+	selectEntryMembers({
 		members: ids.map((id) => memberOf(id, id.slice(0, 2))),
 		regionOf: (zone) => zone.slice(0, 1),
 		homeRoutes: () => 0,
@@ -28,7 +28,7 @@
 
 test('where all nodes of a region leave, those are named before other regions, and only then', () => {
 	const named = (...members: ReadonlyArray<[string, 'alive' | 'leaving']>) =>
-		entriesFor({
+		selectEntryMembers({
 			members: members.map(([id, status]) =>
 				memberOf(id, id.slice(0, 2), {status}),
 			),
@@ -54,7 +54,7 @@
 		homes: Readonly<Record<string, number>>,
 		leaving: readonly string[] = [],
 	) =>
-		entriesFor({
+		selectEntryMembers({
 			members: ['b1-1', 'b1-2', 'c1-1'].map((id) =>
 				memberOf(id, id.slice(0, 2), {
 					status: leaving.includes(id) ? 'leaving' : 'alive',
--- a/tests/gateway/intake/leaving-admission.test.ts
+++ b/tests/gateway/intake/leaving-admission.test.ts
@@ -12,21 +12,21 @@
 const admissionAfter = (milliseconds: readonly number[]) => {
 	const durations = createRouteDurations();
 	for (const each of milliseconds) {
-		durations.note(routeOf().name, each);
+		durations.record(routeOf().name, each);
 	}
 
 	return createLeavingAdmission(durations);
 };
 
 test('a node that stays takes everything', (t: TestContext) => {
-	t.assert.ok(admissionAfter([]).mayTake(at(1e9)));
+	t.assert.ok(admissionAfter([]).admits(at(1e9)));
 });
 
 test('a route of which nothing is known is taken for its whole time', (t: TestContext) => {
 	const admission = admissionAfter([]);
 	admission.leave(0, routeOf().timeoutMs + 10);
-	t.assert.ok(admission.mayTake(at(10)));
-	t.assert.ok(!admission.mayTake(at(11)));
+	t.assert.ok(admission.admits(at(10)));
+	t.assert.ok(!admission.admits(at(11)));
 });
 
 test('while callers are led here, requests are taken for as long as those before them needed', (t: TestContext) => {
@@ -37,15 +37,15 @@
 		3000,
 	]);
 	admission.leave(0, endsAt);
-	t.assert.ok(admission.mayTake(at(endsAt - 200)));
-	t.assert.ok(!admission.mayTake(at(endsAt - 199)));
+	t.assert.ok(admission.admits(at(endsAt - 200)));
+	t.assert.ok(!admission.admits(at(endsAt - 199)));
 });
 
 test('later a request is taken only where its whole time fits in', (t: TestContext) => {
 	const admission = admissionAfter(Array.from({length: 97}, () => 200));
 	admission.leave(0, 8000);
-	t.assert.ok(admission.mayTake(at(4000)));
-	t.assert.ok(!admission.mayTake(at(4001)));
+	t.assert.ok(admission.admits(at(4000)));
+	t.assert.ok(!admission.admits(at(4001)));
 });
 
 test('whatever was seen, a request that comes later is not taken sooner', (t: TestContext) => {
@@ -58,8 +58,8 @@
 			(durations, end, first, second) => {
 				const admission = admissionAfter(durations);
 				admission.leave(0, end);
-				if (admission.mayTake(at(Math.max(first, second)))) {
-					t.assert.ok(admission.mayTake(at(Math.min(first, second))));
+				if (admission.admits(at(Math.max(first, second)))) {
+					t.assert.ok(admission.admits(at(Math.min(first, second))));
 				}
 			},
 		),
--- a/tests/gateway/intake/read-exchange.test.ts
+++ b/tests/gateway/intake/read-exchange.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import type {ReadRequest} from '../../../src/gateway/intake/front-listener.ts';
+import type {ReceivedRequest} from '../../../src/gateway/intake/caller-listener.ts';
 import {encodeHopCall} from '../../../src/gateway/delivery/hop.ts';
 import {
 	readExchange,
@@ -16,7 +16,7 @@
 const requestOf = (
 	headers: readonly string[],
 	target = '/a/b?c=d',
-): ReadRequest => ({
+): ReceivedRequest => ({
 	method: 'POST',
 	target,
 	host: 'site.example',
--- a/tests/gateway/intake/guide-log.test.ts
+++ b/tests/gateway/intake/region-failover-log.test.ts
@@ -1,5 +1,5 @@
 import {test, type TestContext} from 'node:test';
-import {createGuideLog} from '../../../src/gateway/intake/guide-log.ts';
+import {createRegionFailoverLog} from '../../../src/gateway/intake/region-failover-log.ts';
 import type {Logger} from '../../../src/logging/index.ts';
 import {memberOf} from '../../fixtures.ts';
 
@@ -10,7 +10,7 @@
 			targets.push(target);
 		},
 	};
-	const guide = createGuideLog({
+	const guide = createRegionFailoverLog({
 		logger: logger as Logger,
 		regionOf: (zone) => zone.slice(0, 1),
 		members: () => [],
--- a/tests/gateway/intake/closes-first.test.ts
+++ b/tests/gateway/intake/request-deferral.test.ts
@@ -5,10 +5,10 @@
 import {setImmediate as turn} from 'node:timers/promises';
 import {test, type TestContext} from 'node:test';
 import {
-	createClosesFirst,
-	lateLoopMs,
-} from '../../../src/gateway/intake/closes-first.ts';
-import {startFrontListener} from '../../../src/gateway/intake/front-listener.ts';
+	createRequestDeferral,
+	deferralLagMs,
+} from '../../../src/gateway/intake/request-deferral.ts';
+import {startCallerListener} from '../../../src/gateway/intake/caller-listener.ts';
 
 const port = 8000;
 
@@ -24,16 +24,16 @@
 		taken += 1;
 	};
 
-	createClosesFirst(() => lateLoopMs - 1).take(take, false);
+	createRequestDeferral(() => deferralLagMs - 1).schedule(take, false);
 	t.assert.strictEqual(taken, 1);
-	const late = createClosesFirst(() => lateLoopMs);
-	late.take(take, false);
-	const skip = late.take(take, false);
+	const late = createRequestDeferral(() => deferralLagMs);
+	late.schedule(take, false);
+	const skip = late.schedule(take, false);
 	t.assert.strictEqual(taken, 1);
 	skip();
 	await turns(3);
 	t.assert.strictEqual(taken, 2);
-	createClosesFirst(() => 0).take(take, true);
+	createRequestDeferral(() => 0).schedule(take, true);
 	t.assert.strictEqual(taken, 2);
 	await turns(3);
 	t.assert.strictEqual(taken, 3);
@@ -45,10 +45,10 @@
 	hasFirst: boolean,
 ): Promise<number> => {
 	const host = `127.${randomInt(2, 250)}.${randomInt(1, 250)}.1`;
-	const closesFirst = createClosesFirst(() => lagMs);
+	const closesFirst = createRequestDeferral(() => lagMs);
 	let taken = 0;
 	const left = Promise.withResolvers<void>();
-	const front = await startFrontListener({
+	const front = await startCallerListener({
 		address: `${host}:${port}`,
 		limits: {
 			maximumHeaderBytes: 16_384,
@@ -58,7 +58,7 @@
 		},
 		isLeaving: () => false,
 		onRequest({isFirst}) {
-			const skip = closesFirst.take(() => {
+			const skip = closesFirst.schedule(() => {
 				taken += 1;
 			}, isFirst && hasFirst);
 			return () => {
@@ -87,7 +87,7 @@
 };
 
 test('a request whose caller has closed its connection is not taken', async (t: TestContext) => {
-	t.assert.strictEqual(await takenAfterClose(lateLoopMs, false), 0);
+	t.assert.strictEqual(await takenAfterClose(deferralLagMs, false), 0);
 	t.assert.strictEqual(await takenAfterClose(0, true), 0);
 	// Without the turns it is taken, for the close is read after it.
 	t.assert.strictEqual(await takenAfterClose(0, false), 1);
--- a/tests/gateway/limited-server.test.ts
+++ b/tests/gateway/limited-server.test.ts
@@ -1,9 +1,14 @@
 import {test, type TestContext} from 'node:test';
 import {setTimeout as sleep} from 'node:timers/promises';
-import type {Arrival} from '../../stand-ins/stating-server.ts';
+import type {Arrival} from '../../stand-ins/statement-server.ts';
 import {mostInSpan} from '../most-in-span.ts';
 import {until} from '../until.ts';
-import {play, setUp, stream, whole} from './stating-scene.ts';
+import {
+	sendSteadily,
+	setUp,
+	streamResponse,
+	singleResponse,
+} from './statement-scene.ts';
 
 // After a limit is named for the first time nodes have so long to take it in, in milliseconds: a fifth of what a slow
 // network is given.
@@ -21,25 +26,30 @@
 	);
 
 const cases = [
-	{name: 'whole answers', answer: whole, limit: 6, route: {}},
-	{name: 'streams', answer: stream, limit: 6, route: {}},
+	{name: 'whole answers', answer: singleResponse, limit: 6, route: {}},
+	{name: 'streams', answer: streamResponse, limit: 6, route: {}},
 	{
 		name: 'streams that may be resumed',
-		answer: stream,
+		answer: streamResponse,
 		limit: 3,
 		route: {isResumable: true},
 	},
-	{name: 'a limit below one a node', answer: whole, limit: 0.5, route: {}},
+	{
+		name: 'a limit below one a node',
+		answer: singleResponse,
+		limit: 0.5,
+		route: {},
+	},
 ] as const;
 
 for (const {name, answer, limit, route} of cases) {
 	test(`${name}: a server gets from all nodes together what it has named`, async (t: TestContext) => {
 		const scene = await setUp(t, 4, answer, route);
 		const [limited] = scene.servers;
-		await play(scene, 80, 500);
-		limited!.name(limit);
+		await sendSteadily(scene, 80, 500);
+		limited!.setLimit(limit);
 		const namedAt = performance.now();
-		const answers = await play(scene, 80, takingInMs + 2 * spanMs);
+		const answers = await sendSteadily(scene, 80, takingInMs + 2 * spanMs);
 		const most = mostIn(limited!.arrivals, namedAt + takingInMs);
 		t.assert.ok(
 			most <= allowedIn(limit),
@@ -53,20 +63,20 @@
 }
 
 test('a limit that falls is kept, and the server is used again when it ends', async (t: TestContext) => {
-	const scene = await setUp(t, 3, whole);
+	const scene = await setUp(t, 3, singleResponse);
 	const [limited] = scene.servers;
-	await play(scene, 80, 500);
-	limited!.name(20);
-	await play(scene, 80, takingInMs + spanMs);
-	limited!.name(3);
+	await sendSteadily(scene, 80, 500);
+	limited!.setLimit(20);
+	await sendSteadily(scene, 80, takingInMs + spanMs);
+	limited!.setLimit(3);
 	const fellAt = performance.now();
-	await play(scene, 80, takingInMs + spanMs);
+	await sendSteadily(scene, 80, takingInMs + spanMs);
 	const most = mostIn(limited!.arrivals, fellAt + takingInMs);
 	t.assert.ok(most <= allowedIn(3), `${most} in ${spanMs} ms`);
-	limited!.name(undefined);
-	await play(scene, 80, 2000);
+	limited!.setLimit(undefined);
+	await sendSteadily(scene, 80, 2000);
 	const endedAt = performance.now();
-	await play(scene, 80, 2000);
+	await sendSteadily(scene, 80, 2000);
 	const again = limited!.arrivals.filter(({at}) => at >= endedAt).length;
 	// A third of the requests is its part of them; half of that shows that all nodes use it.
 	t.assert.ok(again >= (160 / 3) * 0.5, `${again} of 160`);
@@ -74,13 +84,13 @@
 
 test('a limited server is used up, by the urgent first; the rest is refused at once', async (t: TestContext) => {
 	const limit = 12;
-	const scene = await setUp(t, 1, whole);
+	const scene = await setUp(t, 1, singleResponse);
 	const [limited] = scene.servers;
-	await play(scene, 20, 500);
-	limited!.name(limit);
-	await play(scene, 40, takingInMs);
+	await sendSteadily(scene, 20, 500);
+	limited!.setLimit(limit);
+	await sendSteadily(scene, 40, takingInMs);
 	const startedAt = performance.now();
-	const answers = await play(scene, 40, 2 * spanMs, (index) =>
+	const answers = await sendSteadily(scene, 40, 2 * spanMs, (index) =>
 		index % 16 < 8 ? '/a/draft' : '/urgent/draft',
 	);
 	const taken = limited!.arrivals.filter(
@@ -103,15 +113,15 @@
 
 test('a node that has just started keeps to a limit that it is told by the others', async (t: TestContext) => {
 	const limit = 4;
-	const scene = await setUp(t, 4, whole);
+	const scene = await setUp(t, 4, singleResponse);
 	const [limited] = scene.servers;
-	limited!.name(limit);
-	await play(scene, 80, 2000);
+	limited!.setLimit(limit);
+	await sendSteadily(scene, 80, 2000);
 	await scene.deployment.restart(3);
 	await until(() => scene.deployment.nodes[3]!.isReady());
 	await sleep(takingInMs);
 	const from = performance.now();
-	await play(scene, 80, spanMs + 500);
+	await sendSteadily(scene, 80, spanMs + 500);
 	const most = mostIn(limited!.arrivals, from);
 	t.assert.ok(most <= allowedIn(limit), `${most} in ${spanMs} ms`);
 });
--- a/tests/gateway/resting-server.test.ts
+++ b/tests/gateway/resting-server.test.ts
@@ -1,6 +1,15 @@
 import {test, type TestContext} from 'node:test';
-import type {Arrival, StatingServer} from '../../stand-ins/stating-server.ts';
-import {nodes, play, setUp, twoRegions, whole} from './stating-scene.ts';
+import type {
+	Arrival,
+	StatementServer,
+} from '../../stand-ins/statement-server.ts';
+import {
+	nodes,
+	sendSteadily,
+	setUp,
+	twoRegions,
+	singleResponse,
+} from './statement-scene.ts';
 
 const restMs = 3000;
 // Requests that were under way when a node received the refusal may still arrive, in milliseconds.
@@ -11,7 +20,7 @@
 const pathOf = (index: number): string => `/a/${index % nodes}`;
 
 // The most requests of one node within a rest that the server asked it for.
-const mostWithinRest = ({arrivals}: StatingServer): number => {
+const mostWithinRest = ({arrivals}: StatementServer): number => {
 	const byNode = Map.groupBy(arrivals, ({body}) => body);
 	const counts = byNode
 		.values()
@@ -30,11 +39,11 @@
 		: 0;
 
 test('a server that refuses with Retry-After receives no more from that node until the rest is over', async (t: TestContext) => {
-	const scene = await setUp(t, 3, whole);
+	const scene = await setUp(t, 3, singleResponse);
 	const [resting] = scene.servers;
-	await play(scene, 80, 500, pathOf);
+	await sendSteadily(scene, 80, 500, pathOf);
 	resting!.shed(String(restMs / 1000));
-	const answers = await play(scene, 80, 2 * restMs, pathOf);
+	const answers = await sendSteadily(scene, 80, 2 * restMs, pathOf);
 	const most = mostWithinRest(resting!);
 	t.assert.ok(most <= allowedPerRest, `${most}, allowed ${allowedPerRest}`);
 	t.assert.deepStrictEqual(
@@ -44,12 +53,12 @@
 });
 
 test('nodes that a resting server did not ask go on sending to it', async (t: TestContext) => {
-	const scene = await setUp(t, 2, whole);
+	const scene = await setUp(t, 2, singleResponse);
 	const [resting] = scene.servers;
 	resting!.shed(String(restMs / 1000), (body) => body === '/a/0');
-	await play(scene, 80, 1000, pathOf);
+	await sendSteadily(scene, 80, 1000, pathOf);
 	const from = performance.now();
-	await play(scene, 80, 1500, pathOf);
+	await sendSteadily(scene, 80, 1500, pathOf);
 	const senders = new Set(
 		resting!.arrivals.filter(({at}) => at >= from).map(({body}) => body),
 	);
@@ -59,14 +68,14 @@
 });
 
 test('requests are refused at once, until the first rest ends, when all servers rest', async (t: TestContext) => {
-	const scene = await setUp(t, 2, whole);
+	const scene = await setUp(t, 2, singleResponse);
 	for (const server of scene.servers) {
 		server.shed('30');
 	}
 
-	await play(scene, 80, 1000, pathOf);
+	await sendSteadily(scene, 80, 1000, pathOf);
 	const from = performance.now();
-	const answers = await play(scene, 40, 1000, pathOf);
+	const answers = await sendSteadily(scene, 40, 1000, pathOf);
 	for (const {arrivals} of scene.servers) {
 		t.assert.deepStrictEqual(
 			arrivals.filter(({at}) => at >= from),
@@ -83,13 +92,13 @@
 });
 
 test('another region serves when all servers of a region rest', async (t: TestContext) => {
-	const scene = await setUp(t, 2, whole, {}, twoRegions);
+	const scene = await setUp(t, 2, singleResponse, {}, twoRegions);
 	const [resting, other] = scene.servers;
-	await play(scene, 40, 500, pathOf);
+	await sendSteadily(scene, 40, 500, pathOf);
 	resting!.shed('30');
-	await play(scene, 40, 1000, pathOf);
+	await sendSteadily(scene, 40, 1000, pathOf);
 	const from = performance.now();
-	const answers = await play(scene, 40, 1500, pathOf);
+	const answers = await sendSteadily(scene, 40, 1500, pathOf);
 	t.assert.deepStrictEqual(
 		answers.filter(({status}) => status !== 200),
 		[],
@@ -102,12 +111,12 @@
 });
 
 test('a rest belongs to one life of a server', async (t: TestContext) => {
-	const scene = await setUp(t, 2, whole);
+	const scene = await setUp(t, 2, singleResponse);
 	const [resting] = scene.servers;
 	resting!.shed('60');
-	await play(scene, 80, 1000, pathOf);
+	await sendSteadily(scene, 80, 1000, pathOf);
 	const from = performance.now();
 	resting!.restart(1000);
-	await play(scene, 80, 2000, pathOf);
+	await sendSteadily(scene, 80, 2000, pathOf);
 	t.assert.ok(resting!.arrivals.filter(({at}) => at >= from).length > 10);
 });
--- a/tests/gateway/restored-registry.test.ts
+++ b/tests/gateway/restored-registry.test.ts
@@ -8,7 +8,13 @@
 } from '../../stand-ins/registry.ts';
 import {registeredServerOf} from '../registry/fixtures.ts';
 import {documentOf, routeOf, serviceOf} from './fixtures.ts';
-import {ask, nodes, setUp, whole, type Scene} from './stating-scene.ts';
+import {
+	ask,
+	nodes,
+	setUp,
+	singleResponse,
+	type Scene,
+} from './statement-scene.ts';
 
 // A change binds all nodes this long after the registry has it, in milliseconds.
 const applyMs = 3000;
@@ -28,7 +34,7 @@
 };
 
 const setUpWith = async (t: TestContext, hasEras: boolean): Promise<Scene> =>
-	setUp(t, 2, whole, {}, undefined, createStandInRegistry({hasEras}));
+	setUp(t, 2, singleResponse, {}, undefined, createStandInRegistry({hasEras}));
 
 // The registry is away for a moment and comes back from the copy that it was after a revision.
 const restore = async (registry: StandInRegistry, revision: number) => {
--- a/tests/gateway/sharing/limit-sharing.test.ts
+++ b/tests/gateway/sharing/limit-sharing.test.ts
@@ -31,8 +31,8 @@
 	const sent: Sent[] = [];
 	let now = 0;
 	const deliver = (to: Member, message: PeerMessage) => {
-		if ('usages' in message || 'word' in message || 'totals' in message) {
-			nodes[members.indexOf(to)]!.hear(message, now);
+		if ('usages' in message || 'usage' in message || 'totals' in message) {
+			nodes[members.indexOf(to)]!.receive(message, now);
 		}
 	};
 
@@ -43,7 +43,7 @@
 				self: () => self,
 				usable: () => usable,
 				others: () => usable,
-				tell(receivers, message) {
+				send(receivers, message) {
 					for (const to of receivers) {
 						sent.push({from: self.id, to: to.id, kind: message.kind});
 						deliver(to, message);
@@ -55,7 +55,7 @@
 			zones: ['zone-a', 'zone-b'],
 			hasSettled: () => true,
 			nodes: () => members.length,
-			draw: () => 0.999,
+			randomFraction: () => 0.999,
 		});
 	});
 	return {
@@ -129,6 +129,6 @@
 	turn();
 	admit(0, undefined);
 	const state = nodes[0]!.states(usageIntervalMs).get('account');
-	assert.equal(state?.usage.passed, limit.plainTokens);
-	assert.equal(state.part, 1);
+	assert.equal(state?.usage.admitted, limit.plainTokens);
+	assert.equal(state.admissionFraction, 1);
 });
--- a/tests/gateway/sharing/node-joiner.test.ts
+++ b/tests/gateway/sharing/node-joiner.test.ts
@@ -3,7 +3,7 @@
 	createNodeJoiner,
 	rejoinIntervalMs,
 } from '../../../src/gateway/sharing/node-joiner.ts';
-import type {Mesh, PeerQuestions} from '../../../src/mesh/index.ts';
+import type {Mesh, PeerClient} from '../../../src/mesh/index.ts';
 import {memberOf} from '../../fixtures.ts';
 
 const spanMs = 40_000;
@@ -16,11 +16,11 @@
 	const mesh: Partial<Mesh> = {
 		self: () => memberOf('node-1', 'zone-a'),
 		others: () => others,
-		lastHeard: () => 0,
-		learn: () => undefined,
+		lastReceivedAt: () => 0,
+		mergeMembers: () => undefined,
 	};
 	let asked = 0;
-	const questions: Partial<PeerQuestions> = {
+	const questions: Partial<PeerClient> = {
 		async members() {
 			asked += 1;
 			return [];
@@ -28,7 +28,7 @@
 	};
 	const joiner = createNodeJoiner({
 		mesh: mesh as Mesh,
-		questions: questions as PeerQuestions,
+		peerClient: questions as PeerClient,
 		seeds: () => ['10.0.0.9:1', '10.0.0.8:1'],
 		ownAddresses: [],
 		random: {below: () => 0, fraction: () => 0},
--- a/tests/gateway/sharing/node-shares.test.ts
+++ b/tests/gateway/sharing/node-shares.test.ts
@@ -20,7 +20,7 @@
 ) =>
 	createNodeShares({
 		self: `node-${index}`,
-		ownRegion: 'region',
+		localRegion: 'region',
 		regionOf: () => 'region',
 		mesh: {
 			others: () => heardOf.map((other) => nodeOf(other)),
@@ -44,7 +44,7 @@
 	}));
 	now = ageMs;
 	for (const {shares, budget} of nodes) {
-		while (budget.take('service', shares.retrySharers(), now)) {
+		while (budget.tryTake('service', shares.retrySharingNodes(), now)) {
 			taken += 1;
 		}
 	}
@@ -88,13 +88,13 @@
 				let kept = 0;
 				for (const self of all) {
 					const others = all.filter((other) => other !== self);
-					const {maximum, isKept} = sharesOf(
+					const {maximum, isPersistent} = sharesOf(
 						self,
 						others,
 						() => 0,
 					).connectionsTo(service, server);
 					assert.ok(maximum > 0);
-					kept += isKept ? maximum : 0;
+					kept += isPersistent ? maximum : 0;
 				}
 
 				assert.ok(kept <= maximumConnections, `${kept} kept by ${count}`);
--- a/tests/gateway/sharing/prompt-sharing.test.ts
+++ b/tests/gateway/sharing/prompt-sharing.test.ts
@@ -1,10 +1,10 @@
 import {test, type TestContext} from 'node:test';
 import {
 	createPromptSharing,
-	earlyEngines,
+	startupEngineLimit,
 } from '../../../src/gateway/sharing/prompt-sharing.ts';
 import {createLogger} from '../../../src/logging/index.ts';
-import type {PeerQuestions} from '../../../src/mesh/index.ts';
+import type {PeerClient} from '../../../src/mesh/index.ts';
 import type {FeedAnswer} from '../../../src/prompts/index.ts';
 import {createRegistryMirror} from '../../../src/registry/index.ts';
 import {noStatements} from '../../../src/server-statements/index.ts';
@@ -63,7 +63,7 @@
 	const self = memberOf('node-2', 'zone-a');
 	const asked: string[] = [];
 	const followed: string[] = [];
-	const questions: Partial<PeerQuestions> = {
+	const questions: Partial<PeerClient> = {
 		async promptsAfter(_address, {scope}): Promise<FeedAnswer | undefined> {
 			followed.push(scope);
 			return undefined;
@@ -76,9 +76,9 @@
 	];
 	const sharing = createPromptSharing({
 		clock: () => 0,
-		rests: {leftMs: () => 0},
-		statements: {heard: () => noStatements},
-		backendLimits: {readingPauseMs: () => 0},
+		backoffs: {remainingMs: () => 0},
+		statements: {handle: () => noStatements},
+		backendLimits: {enginePollIntervalMs: () => 0},
 		caches: {
 			async events({id}) {
 				asked.push(id);
@@ -93,7 +93,7 @@
 		},
 		without,
 		mirror: mirrorWithEngines(engines),
-		questions: questions as PeerQuestions,
+		peerClient: questions as PeerClient,
 		availabilityZone: 'zone-a',
 		zones: ['zone-a', 'zone-b'],
 		mesh: {self: () => self, usable: () => others},
@@ -109,8 +109,8 @@
 	const {sharing} = sharingOf(none, false);
 	t.after(sharing.stop);
 	sharing.tick();
-	await until(() => sharing.keeps('engine-1', 'part'));
-	t.assert.ok(sharing.keeps('engine-1', 'part'));
+	await until(() => sharing.isCached('engine-1', 'part'));
+	t.assert.ok(sharing.isCached('engine-1', 'part'));
 });
 
 test('once nodes know of each other, one of the zone asks; switched off, nobody asks earlier', (t: TestContext) => {
@@ -130,8 +130,8 @@
 	const {sharing, asked, followed} = sharingOf(none, false, 19);
 	t.after(sharing.stop);
 	sharing.tick();
-	t.assert.strictEqual(new Set(asked).size, earlyEngines);
-	t.assert.strictEqual(asked.length, earlyEngines);
+	t.assert.strictEqual(new Set(asked).size, startupEngineLimit);
+	t.assert.strictEqual(asked.length, startupEngineLimit);
 	// It follows the holder of its own zone for all engines, and no holder for those of another zone.
 	t.assert.deepStrictEqual(followed, ['all']);
 });
--- a/tests/gateway/stating-scene.ts
+++ b/tests/gateway/statement-scene.ts
@@ -6,10 +6,10 @@
 	type GatewayDeployment,
 } from '../../stand-ins/gateways.ts';
 import {
-	startStatingServer,
-	type StatingAnswer,
-	type StatingServer,
-} from '../../stand-ins/stating-server.ts';
+	startStatementServer,
+	type ResponseShape,
+	type StatementServer,
+} from '../../stand-ins/statement-server.ts';
 import {
 	createStandInRegistry,
 	writeRoutes,
@@ -35,13 +35,21 @@
 export const nodes = 8;
 const deadlineMs = 4000;
 
-export const whole: StatingAnswer = {beforeMs: 40, events: 0, pauseMs: 0};
-export const stream: StatingAnswer = {beforeMs: 60, events: 6, pauseMs: 25};
+export const singleResponse: ResponseShape = {
+	beforeMs: 40,
+	events: 0,
+	pauseMs: 0,
+};
+export const streamResponse: ResponseShape = {
+	beforeMs: 60,
+	events: 6,
+	pauseMs: 25,
+};
 
 export type Scene = {
 	readonly deployment: GatewayDeployment;
 	readonly registry: StandInRegistry;
-	readonly servers: readonly StatingServer[];
+	readonly servers: readonly StatementServer[];
 };
 
 export type Answer = {
@@ -59,7 +67,7 @@
 export const setUp = async (
 	t: TestContext,
 	servers: number,
-	answer: StatingAnswer,
+	answer: ResponseShape,
 	route: Partial<Route> = {},
 	zones = oneRegion,
 	registry = createStandInRegistry(),
@@ -87,7 +95,7 @@
 	);
 	const started = await Promise.all(
 		Array.from({length: servers}, async (_, index) =>
-			startStatingServer(
+			startStatementServer(
 				registry,
 				{
 					id: `engine-${index}`,
@@ -148,7 +156,7 @@
 /**
 Sends requests at an even pace, to all nodes in turn.
 */
-export const play = async (
+export const sendSteadily = async (
 	{deployment: {callerAddresses}}: Scene,
 	perSecond: number,
 	lengthMs: number,
--- a/tests/limits/limits-model.ts
+++ b/tests/limits/limits-model.ts
@@ -46,7 +46,7 @@
 	/**
 	Whether nodes know of no other zone and hear nothing of them: a fault that the check must find.
 	*/
-	readonly isDeaf?: boolean;
+	readonly ignoresOtherZones?: boolean;
 };
 
 /**
@@ -91,14 +91,16 @@
 /**
 Plays requests of one account at nodes that hear each other with delays, or not.
 */
-export const playLimits = (plan: ModelPlan): ModelResult => {
+export const simulateLimits = (plan: ModelPlan): ModelResult => {
 	const random = createRandom(plan.seed);
 	const nodes: Node[] = [];
 	let now = 0;
 	let {limit} = plan;
 
 	const othersOf = (zone: number): readonly number[] =>
-		plan.isDeaf ? [] : [...plan.zones.keys()].filter((each) => each !== zone);
+		plan.ignoresOtherZones
+			? []
+			: [...plan.zones.keys()].filter((each) => each !== zone);
 
 	const zonePartOf = (zone: number, seenBy: number): number => {
 		const inZone = nodes
@@ -115,10 +117,10 @@
 		createSharedLimits({
 			windowMs: modelWindowMs,
 			otherZones: othersOf(zone).map(String),
-			zonePart: () => zonePartOf(zone, node),
+			zoneReachableFraction: () => zonePartOf(zone, node),
 			hasSettled: () => now - (nodes[node]?.startedAt ?? 0) > settlingMs,
 			nodes: () => plan.zones.reduce((sum, count) => sum + count, 0),
-			draw: random.fraction,
+			randomFraction: random.fraction,
 		});
 
 	for (const [zone, count] of plan.zones.entries()) {
@@ -175,9 +177,9 @@
 	const tellZones = (index: number) => {
 		const {zone, limits} = nodes[index]!;
 		const sum = limits.zoneSum(now);
-		const word = {part: zonePartOf(zone, index), usages: sum};
+		const word = {nodeFraction: zonePartOf(zone, index), usages: sum};
 		const deliver = (receiver: SharedLimits) => {
-			receiver.hearZone(String(zone), word, now);
+			receiver.receiveZoneUsage(String(zone), word, now);
 		};
 
 		for (const other of othersOf(zone)) {
@@ -192,10 +194,10 @@
 		const {zone, limits} = nodes[index]!;
 		const totals = limits.totals(now);
 		const deliver = (receiver: SharedLimits) => {
-			receiver.hearTotals(totals, now);
+			receiver.receiveTotals(totals, now);
 		};
 
-		limits.hearTotals(totals, now);
+		limits.receiveTotals(totals, now);
 		for (const [other, node] of nodes.entries()) {
 			if (other !== index && node.zone === zone) {
 				send(index, other, deliver);
@@ -210,12 +212,12 @@
 		const holder = holderOf(zone, index);
 		if (holder !== index) {
 			send(index, holder, (receiver) => {
-				receiver.hearNode(from, usages, now);
+				receiver.receiveNodeUsage(from, usages, now);
 			});
 			return;
 		}
 
-		limits.hearNode(from, usages, now);
+		limits.receiveNodeUsage(from, usages, now);
 		tellZones(index);
 		tellNodes(index);
 	};
--- a/tests/limits/limits.test.ts
+++ b/tests/limits/limits.test.ts
@@ -4,7 +4,7 @@
 import type {Client} from '../../src/configuration/index.ts';
 import {
 	createClientLimits,
-	createWaitingLine,
+	createWaitQueue,
 	type ClientLimits,
 } from '../../src/limits/index.ts';
 
@@ -107,28 +107,29 @@
 });
 
 test('the line is ordered by priority and then by deadline', () => {
-	const line = createWaitingLine<string>(10);
-	line.join(waiter('late', {deadline: 200}));
-	line.join(waiter('early', {deadline: 50}));
-	line.join(waiter('urgent', {priority: 9, deadline: 300}));
+	const line = createWaitQueue<string>(10);
+	line.enqueue(waiter('late', {deadline: 200}));
+	line.enqueue(waiter('early', {deadline: 50}));
+	line.enqueue(waiter('urgent', {priority: 9, deadline: 300}));
 	const order = [1, 2, 3].map(() => line.takeFirst(() => true)!.item);
 	assert.deepEqual(order, ['urgent', 'early', 'late']);
 });
 
 test('a full line displaces the last for a more important one and refuses others', () => {
-	const line = createWaitingLine<string>(2);
-	line.join(waiter('a'));
-	line.join(waiter('b', {deadline: 200}));
-	assert.equal(line.join(waiter('c')).kind, 'full');
-	const verdict = line.join(waiter('d', {priority: 9}));
+	const line = createWaitQueue<string>(2);
+	line.enqueue(waiter('a'));
+	line.enqueue(waiter('b', {deadline: 200}));
+	assert.equal(line.enqueue(waiter('c')).kind, 'full');
+	const verdict = line.enqueue(waiter('d', {priority: 9}));
 	assert.strictEqual(verdict.kind, 'displaced');
 	assert.strictEqual(verdict.waiter.item, 'b');
 });
 
 test('one client holds at most half of the line', () => {
-	const line = createWaitingLine<string>(4);
+	const line = createWaitQueue<string>(4);
 	const verdicts = [1, 2, 3].map(
-		(index) => line.join({...waiter(String(index)), clientName: 'greedy'}).kind,
+		(index) =>
+			line.enqueue({...waiter(String(index)), clientName: 'greedy'}).kind,
 	);
 	assert.deepEqual(verdicts, ['waiting', 'waiting', 'full']);
 });
@@ -141,11 +142,13 @@
 				fc.record({priority: fc.nat({max: 9}), deadline: fc.nat({max: 100})}),
 			),
 			(capacity, joins) => {
-				const line = createWaitingLine<string>(capacity);
+				const line = createWaitQueue<string>(capacity);
 				let waiting = 0;
 				for (const [index, change] of joins.entries()) {
 					waiting +=
-						line.join(waiter(String(index), change)).kind === 'waiting' ? 1 : 0;
+						line.enqueue(waiter(String(index), change)).kind === 'waiting'
+							? 1
+							: 0;
 					assert.ok(line.length() <= capacity);
 				}
 
--- a/tests/limits/shared-limits.test.ts
+++ b/tests/limits/shared-limits.test.ts
@@ -5,7 +5,7 @@
 import {
 	allowedInWindow,
 	mostInWindow,
-	playLimits,
+	simulateLimits,
 	type ModelEvent,
 	type ModelPlan,
 	type ModelRequest,
@@ -143,7 +143,7 @@
 				{seed},
 			);
 			for (const plan of [everywhere, moving]) {
-				refusedCount += playLimits(plan).refused.length;
+				refusedCount += simulateLimits(plan).refused.length;
 				refusedByBucket += refusedByOneBucket(plan.requests);
 			}
 		}
@@ -160,7 +160,7 @@
 				{level: 0.55, from: 0, until: 10_000},
 				{level: 4.1, from: 10_000, until: 30_000, nodes},
 			]);
-			const {passed} = playLimits(plan);
+			const {passed} = simulateLimits(plan);
 			const most = mostInWindow(passed);
 			assert.ok(most <= allowedInWindow(limit) * overrun + slack, `${most}`);
 			const during = passed.filter(({at}) => at >= 12_000);
@@ -174,7 +174,7 @@
 test('a limit that is lowered far below what is sent holds one window later, and is used up', () => {
 	const lowered = {perSecond: 10_000, burst: 10_000};
 	const zones = fleets[1]!;
-	const {passed} = playLimits(
+	const {passed} = simulateLimits(
 		planOf(zones, [{level: 0.9, from: 0, until: 40_000}], {
 			events: [{kind: 'limit', at: 10_000, limit: lowered}],
 		}),
@@ -247,7 +247,7 @@
 				{level: 0.55, from: hotAt + 12_000, until: 34_000},
 			];
 			const events = [...(day.cut ? [day.cut] : []), ...day.restarts];
-			const {passed, forgotten} = playLimits(
+			const {passed, forgotten} = simulateLimits(
 				planOf(zonesOfModel, demands, {seed: day.seed, events}),
 			);
 			const most = mostInWindow(passed);
@@ -278,8 +278,8 @@
 			{level: 0.55, from: 0, until: 10_000},
 			{level: 4.1, from: 10_000, until: 30_000},
 		],
-		{isDeaf: true},
+		{ignoresOtherZones: true},
 	);
-	const most = mostInWindow(playLimits(plan).passed);
+	const most = mostInWindow(simulateLimits(plan).passed);
 	assert.ok(most > allowedInWindow(limit) * overrun + slack, `${most}`);
 });
--- a/tests/mechanisms/mechanisms.test.ts
+++ b/tests/mechanisms/mechanisms.test.ts
@@ -1,16 +1,22 @@
 import {test, type TestContext} from 'node:test';
-import {mechanisms, parseWithout} from '../../src/mechanisms/index.ts';
+import {
+	mechanisms,
+	parseDisabledMechanisms,
+} from '../../src/mechanisms/index.ts';
 
 test('names are read, spaces and empty ones left out', (t: TestContext) => {
 	t.assert.deepStrictEqual(
-		[...parseWithout(' waiting, ,silence,').unwrapOr(new Set())],
+		[...parseDisabledMechanisms(' waiting, ,silence,').unwrapOr(new Set())],
 		['waiting', 'silence'],
 	);
-	t.assert.strictEqual(parseWithout('').unwrapOr(undefined)?.size, 0);
+	t.assert.strictEqual(
+		parseDisabledMechanisms('').unwrapOr(undefined)?.size,
+		0,
+	);
 });
 
 test('an unknown name is an error that lists the names', (t: TestContext) => {
-	const read = parseWithout('waiting,patience');
+	const read = parseDisabledMechanisms('waiting,patience');
 	t.assert.ok(read.isErr);
 	t.assert.match(read.error, /patience/v);
 	for (const name of mechanisms) {
--- a/tests/membership/membership.test.ts
+++ b/tests/membership/membership.test.ts
@@ -3,10 +3,10 @@
 import fc from 'fast-check';
 import {
 	createMembership,
-	hasDuty,
+	hasRole,
 	hasPrecedence,
 	listEntryVms,
-	nodesPerDuty,
+	nodesPerRole,
 	type Member,
 	type Membership,
 	type MembershipAction,
@@ -303,16 +303,16 @@
 	);
 	const holdersAmong = (members: readonly Member[]) =>
 		members.filter((self) =>
-			hasDuty(
+			hasRole(
 				'watch',
 				self,
 				members.filter((other) => other !== self),
 			),
 		);
 	const holders = holdersAmong(zone);
-	assert.equal(holders.length, nodesPerDuty);
+	assert.equal(holders.length, nodesPerRole);
 	const left = zone.filter((member) => !holders.includes(member));
-	assert.equal(holdersAmong(left).length, nodesPerDuty);
+	assert.equal(holdersAmong(left).length, nodesPerRole);
 });
 
 test('a process that restarts after the time of day went back is not taken for its dead predecessor', () => {
--- a/tests/membership/zone-holders.test.ts
+++ b/tests/membership/zone-role.test.ts
@@ -1,6 +1,9 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {createZoneHolders, type Member} from '../../src/membership/index.ts';
+import {
+	createZoneRoleHolders,
+	type Member,
+} from '../../src/membership/index.ts';
 import {memberOf} from '../fixtures.ts';
 
 test('each zone has one holder of a duty, the same at every node, and a node that leaves holds none', () => {
@@ -9,7 +12,7 @@
 	);
 	const holdersAt = (self: Member) => {
 		const others = all.filter(({id}) => id !== self.id);
-		return createZoneHolders(
+		return createZoneRoleHolders(
 			'duty',
 			() => self,
 			() => others,
@@ -29,7 +32,7 @@
 test('holders are worked out anew when the members change, and only then', () => {
 	let others = [memberOf('node-1', 'zone-a')];
 	const self = memberOf('node-2', 'zone-a');
-	const holders = createZoneHolders(
+	const holders = createZoneRoleHolders(
 		'duty',
 		() => self,
 		() => others,
--- a/tests/mesh/mesh.test.ts
+++ b/tests/mesh/mesh.test.ts
@@ -1,7 +1,11 @@
 import {test, type TestContext} from 'node:test';
 import {createLogger} from '../../src/logging/index.ts';
 import type {Member} from '../../src/membership/index.ts';
-import {createMesh, leavingNamedMs, newcomerMs} from '../../src/mesh/index.ts';
+import {
+	createMesh,
+	leavingAdvertisedMs,
+	newcomerMs,
+} from '../../src/mesh/index.ts';
 import {memberOf} from '../fixtures.ts';
 
 const setUp = () => {
@@ -16,7 +20,7 @@
 			era: 0,
 			revision: 0,
 			routesVersion: 0,
-			isBeyondRegistry: false,
+			isAheadOfRegistry: false,
 		}),
 		onRegistryStamp: () => undefined,
 		onMessage: () => undefined,
@@ -25,7 +29,7 @@
 		logger: createLogger('test', {}),
 	});
 	const hear = (change: Partial<Member>) => {
-		mesh.learn([memberOf('b1', 'b', {incarnation: 1, ...change})]);
+		mesh.mergeMembers([memberOf('b1', 'b', {incarnation: 1, ...change})]);
 	};
 
 	return {
@@ -35,7 +39,7 @@
 			now += milliseconds;
 		},
 		isLeavingLately: () =>
-			mesh.others().some((member) => mesh.isLeavingLately(member)),
+			mesh.others().some((member) => mesh.isRecentlyLeaving(member)),
 	};
 };
 
@@ -46,7 +50,7 @@
 	t.assert.strictEqual(isLeavingLately(), false);
 	hear({status: 'leaving', revision: 1});
 	t.assert.strictEqual(isLeavingLately(), true);
-	pass(leavingNamedMs - 1);
+	pass(leavingAdvertisedMs - 1);
 	t.assert.strictEqual(isLeavingLately(), true);
 	pass(1);
 	t.assert.strictEqual(isLeavingLately(), false);
@@ -64,7 +68,7 @@
 test('a node that leaves itself still names itself for a while', (t: TestContext) => {
 	const {mesh, pass} = setUp();
 	mesh.leave();
-	t.assert.strictEqual(mesh.isLeavingLately(mesh.self()), true);
-	pass(leavingNamedMs);
-	t.assert.strictEqual(mesh.isLeavingLately(mesh.self()), false);
+	t.assert.strictEqual(mesh.isRecentlyLeaving(mesh.self()), true);
+	pass(leavingAdvertisedMs);
+	t.assert.strictEqual(mesh.isRecentlyLeaving(mesh.self()), false);
 });
--- a/tests/node/node-quarantine.test.ts
+++ b/tests/node/node-quarantine.test.ts
@@ -1,17 +1,17 @@
 import {setImmediate} from 'node:timers/promises';
 import {test, type TestContext} from 'node:test';
-import type {EngineLife} from '../../src/engines/index.ts';
+import type {EngineProcessState} from '../../src/engines/index.ts';
 import {silentLogger} from '../../src/logging/index.ts';
 import type {NodeCore} from '../../src/node/node-core.ts';
 import {createNodeQuarantine} from '../../src/node/node-quarantine.ts';
 import {createSealer} from '../../src/peers/seal.ts';
-import {engineLife} from '../../src/requests/index.ts';
+import {engineIncarnationId} from '../../src/requests/index.ts';
 import {fixedRandom} from '../fixtures.ts';
 
 // A node whose engine says, or does not say, what runs at its address after a connection broke.
 const crashesAfter = async (
-	life: string,
-	answer: EngineLife,
+	incarnationId: string,
+	answer: EngineProcessState,
 	restLeftMs = 0,
 ): Promise<number> => {
 	const core = {
@@ -22,41 +22,52 @@
 					configuration: {backendServers: [{id: 'engine', address: 'there'}]},
 				}),
 			},
-			fleet: {restLeftMs: () => restLeftMs},
+			fleet: {backoffRemainingMs: () => restLeftMs},
 			logger: silentLogger,
 			membership: {usable: () => []},
 			settings: {nodeId: 'node'},
 		},
-		engines: {readLife: async () => answer},
+		engines: {readProcessState: async () => answer},
 		random: fixedRandom(),
 		sealer: createSealer('key'),
 	} as unknown as NodeCore;
 	const quarantine = createNodeQuarantine(core, () => undefined);
-	quarantine.broke(
-		{server: 'engine', life, fingerprint: 'fatal', sentAt: 900},
+	quarantine.connectionBroken(
+		{
+			server: 'engine',
+			incarnationId,
+			fingerprint: 'fatal',
+			sentAt: 900,
+		},
 		1000,
 	);
 	await setImmediate();
 	return quarantine.crashesSeen();
 };
 
-const life = engineLife('engine', 'first');
+const incarnationId = engineIncarnationId('engine', 'first');
 
 test('an engine has crashed where nobody listens, or another process of it does', async (t: TestContext) => {
-	t.assert.strictEqual(await crashesAfter(life, {kind: 'gone'}), 1);
+	t.assert.strictEqual(await crashesAfter(incarnationId, {kind: 'gone'}), 1);
 	t.assert.strictEqual(
-		await crashesAfter(life, {kind: 'running', incarnation: 'second'}),
+		await crashesAfter(incarnationId, {kind: 'running', incarnation: 'second'}),
 		1,
 	);
 });
 
 test('one that runs on, says nothing, or had not told its name has not', async (t: TestContext) => {
 	const running = {kind: 'running', incarnation: 'first'} as const;
-	t.assert.strictEqual(await crashesAfter(life, running), 0);
-	t.assert.strictEqual(await crashesAfter(life, {kind: 'silent'}), 0);
-	t.assert.strictEqual(await crashesAfter(engineLife('engine'), running), 0);
+	t.assert.strictEqual(await crashesAfter(incarnationId, running), 0);
+	t.assert.strictEqual(await crashesAfter(incarnationId, {kind: 'silent'}), 0);
+	t.assert.strictEqual(
+		await crashesAfter(engineIncarnationId('engine'), running),
+		0,
+	);
 });
 
 test('an engine that rests is not asked whether it lives', async (t: TestContext) => {
-	t.assert.strictEqual(await crashesAfter(life, {kind: 'gone'}, 1000), 0);
+	t.assert.strictEqual(
+		await crashesAfter(incarnationId, {kind: 'gone'}, 1000),
+		0,
+	);
 });
--- a/tests/peers/peer-message-codec.test.ts
+++ b/tests/peers/peer-message-codec.test.ts
@@ -15,11 +15,15 @@
 const codec = createPeerMessageCodec(sealer);
 
 const count = fc.integer({min: 0, max: 2 ** 40});
-const usage = fc.record({account: fc.string(), asked: count, passed: count});
+const usage = fc.record({
+	account: fc.string(),
+	requested: count,
+	admitted: count,
+});
 const total = fc.record({
 	account: fc.string(),
-	total: fc.record({asked: count, passed: count}),
-	passedBySilent: count,
+	total: fc.record({requested: count, admitted: count}),
+	admittedByUnreachable: count,
 });
 const message: fc.Arbitrary<UsageMessage> = fc.oneof(
 	fc.record({
@@ -30,8 +34,8 @@
 	fc.record({
 		kind: fc.constant('zone' as const),
 		from: fc.string(),
-		word: fc.record({
-			part: fc.constantFrom(1, 0.25, 0),
+		usage: fc.record({
+			nodeFraction: fc.constantFrom(1, 0.25, 0),
 			usages: fc.array(usage, {maxLength: accountsPerDatagram}),
 		}),
 	}),
@@ -39,7 +43,7 @@
 		kind: fc.constant('totals' as const),
 		from: fc.string(),
 		totals: fc.record({
-			limitPart: fc.constantFrom(1, 0.5, 0),
+			limitFraction: fc.constantFrom(1, 0.5, 0),
 			accounts: fc.array(total, {maxLength: accountsPerDatagram}),
 		}),
 	}),
@@ -58,18 +62,18 @@
 test('many accounts go in several datagrams, each below the size of a packet', () => {
 	const usages = Array.from({length: 280}, (_, index) => ({
 		account: `account-number-${index}`,
-		asked: 1_000_000 + index,
-		passed: 8_000_000 + index,
+		requested: 1_000_000 + index,
+		admitted: 8_000_000 + index,
 	}));
 	const datagrams = codec.encode({
 		kind: 'zone',
 		from: 'zone-a',
-		word: {part: 1, usages},
+		usage: {nodeFraction: 1, usages},
 	});
 	assert.ok(datagrams.every(({length}) => length < 1400));
 	const heard = datagrams.flatMap((datagram) => {
 		const decoded = codec.decode(datagram);
-		return decoded?.kind === 'zone' ? decoded.word.usages : [];
+		return decoded?.kind === 'zone' ? decoded.usage.usages : [];
 	});
 	assert.deepEqual(heard, usages);
 });
@@ -91,20 +95,20 @@
 });
 
 test('counts below nothing, and parts beyond the whole, are refused', () => {
-	const usages = [{account: 'a', asked: -1, passed: 0}];
+	const usages = [{account: 'a', requested: -1, admitted: 0}];
 	const [below] = codec.encode({kind: 'node', from: 'a', usages});
 	assert.equal(codec.decode(below!), undefined);
 	const [beyond] = codec.encode({
 		kind: 'totals',
 		from: 'a',
-		totals: {limitPart: 1.5, accounts: []},
+		totals: {limitFraction: 1.5, accounts: []},
 	});
 	assert.equal(codec.decode(beyond!), undefined);
 });
 
 test('what is told of crashes and quarantines arrives as it was sent', () => {
 	const runs = Array.from({length: runsPerDatagram + 1}, (_, index) => ({
-		life: `i-0123456789 ${1_700_000_000_000 + index}`,
+		incarnationId: `i-0123456789 ${1_700_000_000_000 + index}`,
 		agoMs: index,
 		fingerprint: '0123456789abcdef',
 		sentAgoMs: 2 * index,
@@ -128,7 +132,7 @@
 test('what is told of limits that servers name arrives as it was sent, many in several datagrams', () => {
 	const limit = fc.record(
 		{
-			life: fc.string(),
+			incarnationId: fc.string(),
 			perSecond: fc.option(fc.double({min: 0, max: 1000, noNaN: true}), {
 				nil: undefined,
 			}),
@@ -158,7 +162,7 @@
 
 test('announced shutdowns arrive as they were told, over as many datagrams as they need', () => {
 	const server = fc.record(
-		{server: fc.string(), life: fc.string()},
+		{server: fc.string(), incarnationId: fc.string()},
 		{noNullPrototype: true},
 	);
 	fc.assert(
--- a/tests/prompts/cache-reader.test.ts
+++ b/tests/prompts/cache-reader.test.ts
@@ -2,20 +2,20 @@
 import {createLogger} from '../../src/logging/index.ts';
 import {
 	createCacheReader,
-	readPauseMs,
-	readRetryMs,
+	cacheReadIntervalMs,
+	cacheRetryIntervalMs,
 	type CacheAnswer,
 	type PromptChange,
-	type ReadEngine,
+	type CacheEngine,
 } from '../../src/prompts/index.ts';
 
-const engine: ReadEngine = {id: 'a', address: '10.0.0.1:80'};
+const engine: CacheEngine = {id: 'a', address: '10.0.0.1:80'};
 
 const setUp = ({mock}: TestContext, answers: readonly CacheAnswer[]) => {
 	mock.timers.enable({apis: ['setTimeout']});
 	const asked: number[] = [];
 	const published: PromptChange[] = [];
-	let engines: readonly ReadEngine[] = [engine];
+	let engines: readonly CacheEngine[] = [engine];
 	const reader = createCacheReader({
 		source: {
 			async events(_engine, since) {
@@ -30,11 +30,11 @@
 		publish(changes) {
 			published.push(...changes);
 		},
-		pauseMs: () => 0,
-		restMs: () => 0,
+		minimumIntervalMs: () => 0,
+		backoffMs: () => 0,
 		clock: () => 0,
 		onHead: () => undefined,
-		smallestTokens: 512,
+		minimumTokens: 512,
 		logger: createLogger('test'),
 	});
 	const pass = async (milliseconds: number) => {
@@ -73,7 +73,7 @@
 	]);
 	reader.tick();
 	await pass(0);
-	await pass(readPauseMs);
+	await pass(cacheReadIntervalMs);
 	t.assert.deepStrictEqual(asked, [0, 4]);
 	t.assert.deepStrictEqual(published, [
 		['a', 'p', 13_000],
@@ -89,7 +89,7 @@
 	]);
 	reader.tick();
 	await pass(0);
-	await pass(readPauseMs);
+	await pass(cacheReadIntervalMs);
 	t.assert.deepStrictEqual(published, [
 		['a', 'p', 13_000],
 		['a', '', 0],
@@ -102,12 +102,12 @@
 	const {reader, asked, pass, loseDuty} = setUp(t, []);
 	reader.tick();
 	await pass(0);
-	await pass(readRetryMs - 1);
+	await pass(cacheRetryIntervalMs - 1);
 	t.assert.strictEqual(asked.length, 1);
 	await pass(1);
 	t.assert.strictEqual(asked.length, 2);
 	loseDuty();
 	reader.tick();
-	await pass(readRetryMs);
+	await pass(cacheRetryIntervalMs);
 	t.assert.strictEqual(asked.length, 2);
 });
--- a/tests/prompts/prompt-feed.test.ts
+++ b/tests/prompts/prompt-feed.test.ts
@@ -4,7 +4,7 @@
 import {
 	createPromptFeed,
 	createPromptMap,
-	keptPromptChanges,
+	maximumFeedChanges,
 	type FeedAnswer,
 	type PromptMap,
 } from '../../src/prompts/index.ts';
@@ -92,7 +92,7 @@
 
 test('a node that is too far behind, or asks another life, is told everything', async () => {
 	const {feed} = setUp();
-	for (let index = 0; index <= keptPromptChanges; index += 1) {
+	for (let index = 0; index <= maximumFeedChanges; index += 1) {
 		feed.publish([['near-1', `part-${index % 3}`, 600 + index]]);
 	}
 
--- a/tests/quarantine/crash-model.test.ts
+++ b/tests/quarantine/crash-model.test.ts
@@ -1,11 +1,11 @@
 import {test, type TestContext} from 'node:test';
 import {createCrashLedger} from '../../src/quarantine/index.ts';
-import {playCrashes, type CrashPlan} from './crash-model.ts';
+import {simulateCrashes, type CrashScenario} from './crash-model.ts';
 
 // What is borne later than five seconds after the third crash of a request, over all nodes.
 const borneSends = 3;
 
-const plan: Omit<CrashPlan, 'seed'> = {
+const plan: Omit<CrashScenario, 'seed'> = {
 	createRule: () => createCrashLedger(),
 	nodes: 4,
 	servers: 4,
@@ -15,7 +15,7 @@
 	fatalEveryMs: 500,
 	maximumAttempts: 2,
 	isolatedFrom: 1,
-	patienceMs: 1000,
+	maximumIsolationWaitMs: 1000,
 	spanMs: 10_000,
 };
 
@@ -23,7 +23,7 @@
 
 test('a request that crashes servers is found out, and none that shared them is refused', (t: TestContext) => {
 	for (const seed of seeds) {
-		const {lateSends, refused} = playCrashes({...plan, seed});
+		const {lateSends, refused} = simulateCrashes({...plan, seed});
 		t.assert.ok(lateSends <= borneSends, `seed ${seed}: ${lateSends} late`);
 		t.assert.strictEqual(refused, 0, `seed ${seed}`);
 	}
@@ -31,7 +31,7 @@
 
 test('a loss of power refuses nobody', (t: TestContext) => {
 	for (const seed of seeds) {
-		const {refused, crashes} = playCrashes({
+		const {refused, crashes} = simulateCrashes({
 			...plan,
 			seed,
 			fatal: 0,
@@ -44,14 +44,14 @@
 });
 
 test('the model itself: with nothing remembered servers crash on and on', (t: TestContext) => {
-	const {lateSends} = playCrashes({
+	const {lateSends} = simulateCrashes({
 		...plan,
 		seed: 1,
 		createRule: () => ({
-			hear: () => undefined,
+			addCrash: () => undefined,
 			served: () => false,
-			settle: () => [],
-			standing: () => ({kind: 'clear'}),
+			evaluate: () => [],
+			status: () => ({kind: 'clear'}),
 		}),
 	});
 	t.assert.ok(lateSends > borneSends);
--- a/tests/quarantine/crash-model.ts
+++ b/tests/quarantine/crash-model.ts
@@ -7,13 +7,13 @@
 */
 export type CrashRule = Pick<
 	CrashLedger,
-	'hear' | 'served' | 'settle' | 'standing'
+	'addCrash' | 'served' | 'evaluate' | 'status'
 >;
 
 /**
 What is played.
 */
-export type CrashPlan = {
+export type CrashScenario = {
 	readonly seed: number;
 	readonly createRule: () => CrashRule;
 	readonly nodes: number;
@@ -36,7 +36,7 @@
 	/**
 	How long it waits for one at the most, in milliseconds.
 	*/
-	readonly patienceMs: number;
+	readonly maximumIsolationWaitMs: number;
 	/**
 	When all servers of a zone, a third of them, lose power; no request is at fault.
 	*/
@@ -64,7 +64,7 @@
 /**
 How long nodes have to tell each other of a third crash, in milliseconds.
 */
-export const tellingMs = 5000;
+export const reportDeadlineMs = 5000;
 
 type Request = {
 	readonly fingerprint: string;
@@ -99,7 +99,7 @@
 Plays nodes, servers and callers without a network; what nodes tell each other takes 5 to 80 ms, and one message in fifty
 is lost.
 */
-export const playCrashes = (plan: CrashPlan): CrashResult => {
+export const simulateCrashes = (plan: CrashScenario): CrashResult => {
 	const random = createRandom(plan.seed);
 	const queue = new TinyQueue<Event>([], (left, right) => left.at - right.at);
 	const rules = Array.from({length: plan.nodes}, plan.createRule);
@@ -118,7 +118,7 @@
 	};
 
 	const crashesOf = (request: Request, node: number): number => {
-		const standing = rules[node]!.standing(request.fingerprint, now);
+		const standing = rules[node]!.status(request.fingerprint, now);
 		return standing.kind === 'suspect' ? standing.crashes : 0;
 	};
 
@@ -138,7 +138,7 @@
 				server.isUp &&
 				!request.excluded.has(index) &&
 				(crashes === 0 ||
-					now - request.waitingSince > plan.patienceMs ||
+					now - request.waitingSince > plan.maximumIsolationWaitMs ||
 					isFreeFor(server, node, crashes)),
 		);
 		const costs = fit.map((server) => ({
@@ -169,7 +169,7 @@
 	};
 
 	const send = (request: Request, node: number) => {
-		const standing = rules[node]!.standing(request.fingerprint, now);
+		const standing = rules[node]!.status(request.fingerprint, now);
 		if (standing.kind === 'quarantined') {
 			refuse(request);
 			return;
@@ -218,13 +218,13 @@
 
 	const noteSend = ({fingerprint, isFatal}: Request) => {
 		const third = ended.get(fingerprint)?.[2] ?? Infinity;
-		if (isFatal && now > third + tellingMs) {
+		if (isFatal && now > third + reportDeadlineMs) {
 			late.set(fingerprint, (late.get(fingerprint) ?? 0) + 1);
 		}
 	};
 
 	const crash = (server: Server) => {
-		const life = `${servers.indexOf(server)} ${server.life}`;
+		const incarnationId = `${servers.indexOf(server)} ${server.life}`;
 		const runs = [...server.runs];
 		server.runs = new Set();
 		server.isUp = false;
@@ -240,7 +240,7 @@
 
 		for (const [node, seen] of Map.groupBy(runs, (run) => run.node)) {
 			after(nearDelayMs, () => {
-				tell(node, life, seen);
+				tell(node, incarnationId, seen);
 			});
 			for (const run of seen) {
 				goOn(run);
@@ -249,17 +249,17 @@
 	};
 
 	// A node tells at its next tick what it saw itself; it knows at once.
-	const tell = (node: number, life: string, seen: readonly Run[]) => {
+	const tell = (node: number, incarnationId: string, seen: readonly Run[]) => {
 		const at = now - nearDelayMs;
 		const crashOf = (offset: number): Crash => ({
-			life,
+			incarnationId,
 			at: at + offset,
 			runs: seen.map(({request, sentAt}) => ({
 				fingerprint: request.fingerprint,
 				sentAt: sentAt + offset,
 			})),
 		});
-		rules[node]!.hear(crashOf(0), now);
+		rules[node]!.addCrash(crashOf(0), now);
 		const toldAfter = random.fraction() * tickMs;
 		for (const [other, rule] of rules.entries()) {
 			if (other === node || random.fraction() < 0.02) {
@@ -274,7 +274,7 @@
 
 	const hearLater = (rule: CrashRule, told: Crash, ms: number) => {
 		after(ms, () => {
-			rule.hear(told, now);
+			rule.addCrash(told, now);
 		});
 	};
 
@@ -321,7 +321,7 @@
 	};
 
 	const tick = (node: number) => {
-		rules[node]!.settle(now);
+		rules[node]!.evaluate(now);
 		after(tickMs, () => {
 			tick(node);
 		});
--- a/tests/quarantine/crash-watch.test.ts
+++ b/tests/quarantine/crash-watch.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	askAgainMs,
+	crashProbeIntervalMs,
 	createCrashWatch,
-	maximumWatched,
-	proofWithinMs,
+	maximumWatchedIncarnations,
+	crashEvidenceWindowMs,
 	type Crash,
 } from '../../src/quarantine/index.ts';
 
@@ -12,15 +12,27 @@
 	const asked: string[] = [];
 	const crashes: Crash[] = [];
 	const watch = createCrashWatch({
-		ask(server) {
+		probe(server) {
 			asked.push(server);
 		},
 		onCrash(crash) {
 			crashes.push(crash);
 		},
 	});
-	const broke = (fingerprint: string, now: number, life = 'engine 1') => {
-		watch.broke({server: 'engine', life, fingerprint, sentAt: now - 10}, now);
+	const broke = (
+		fingerprint: string,
+		now: number,
+		incarnationId = 'engine 1',
+	) => {
+		watch.connectionBroken(
+			{
+				server: 'engine',
+				incarnationId,
+				fingerprint,
+				sentAt: now - 10,
+			},
+			now,
+		);
 	};
 
 	return {watch, broke, asked, crashes};
@@ -31,10 +43,10 @@
 	broke('a', 100);
 	broke('b', 110);
 	assert.deepEqual(asked, ['engine']);
-	watch.acquitted('engine 1');
-	watch.gone('engine 1');
+	watch.crashRuledOut('engine 1');
+	watch.entryRemoved('engine 1');
 	assert.deepEqual(crashes, []);
-	broke('c', 110 + askAgainMs);
+	broke('c', 110 + crashProbeIntervalMs);
 	assert.equal(asked.length, 2);
 });
 
@@ -42,11 +54,11 @@
 	const {watch, broke, crashes} = setUp();
 	broke('a', 100);
 	broke('b', 110);
-	watch.refused('engine 1', 120);
+	watch.connectionRefused('engine 1', 120);
 	broke('c', 130);
 	assert.deepEqual(
-		crashes.map(({life, at, runs}) => [
-			life,
+		crashes.map(({incarnationId, at, runs}) => [
+			incarnationId,
 			at,
 			runs.map(({fingerprint, sentAt}) => `${fingerprint} ${sentAt}`),
 		]),
@@ -60,23 +72,23 @@
 test('an entry that goes proves the crash of its life, and of no other', () => {
 	const {watch, broke, crashes} = setUp();
 	broke('a', 100);
-	watch.gone('engine 0');
+	watch.entryRemoved('engine 0');
 	assert.equal(crashes.length, 0);
-	watch.gone('engine 1');
+	watch.entryRemoved('engine 1');
 	assert.equal(crashes.length, 1);
 });
 
 test('an old break proves nothing, and what is remembered is bounded', () => {
 	const {watch, broke, crashes} = setUp();
 	broke('a', 100);
-	watch.tick(100 + proofWithinMs + 1);
-	watch.gone('engine 1');
-	for (let index = 0; index <= maximumWatched; index += 1) {
+	watch.tick(100 + crashEvidenceWindowMs + 1);
+	watch.entryRemoved('engine 1');
+	for (let index = 0; index <= maximumWatchedIncarnations; index += 1) {
 		broke('a', 10_000, `life ${index}`);
 	}
 
-	watch.gone('life 0');
+	watch.entryRemoved('life 0');
 	assert.equal(crashes.length, 0);
-	watch.gone('life 1');
+	watch.entryRemoved('life 1');
 	assert.equal(crashes.length, 1);
 });
--- a/tests/quarantine/quarantine.test.ts
+++ b/tests/quarantine/quarantine.test.ts
@@ -5,7 +5,7 @@
 import {
 	createQuarantine,
 	quarantineGossipMs,
-	settleMs,
+	crashReportWindowMs,
 	type Quarantine,
 } from '../../src/quarantine/index.ts';
 import {createRandom} from '../../src/shared/index.ts';
@@ -25,16 +25,16 @@
 		createQuarantine({
 			self: members[index]!.id,
 			usable: () => lists[index]!,
-			tell(receivers: readonly Member[], message) {
+			send(receivers: readonly Member[], message) {
 				sent.push(message);
 				for (const to of receivers) {
 					const receiver = members.findIndex(({id}) => id === to.id);
 					if (!cut.has(index) && !cut.has(receiver)) {
-						nodes[receiver]!.hear(message, now);
+						nodes[receiver]!.receive(message, now);
 					}
 				}
 			},
-			ask: () => undefined,
+			probe: () => undefined,
 			onQuarantined(fingerprint) {
 				found.push(`${index} ${fingerprint}`);
 			},
@@ -56,12 +56,17 @@
 				node.tick(now);
 			}
 		},
-		crash(index: number, life: string, fingerprint: string) {
-			nodes[index]!.broke(
-				{server: life, life, fingerprint, sentAt: now - 10},
+		crash(index: number, incarnationId: string, fingerprint: string) {
+			nodes[index]!.connectionBroken(
+				{
+					server: incarnationId,
+					incarnationId,
+					fingerprint,
+					sentAt: now - 10,
+				},
 				now,
 			);
-			nodes[index]!.refused(life, now);
+			nodes[index]!.connectionRefused(incarnationId, now);
 		},
 		restart(index: number) {
 			nodes[index] = createNode(index);
@@ -71,17 +76,17 @@
 			}
 		},
 		kind: (index: number, fingerprint: string) =>
-			nodes[index]!.standing(() => fingerprint, now).kind,
+			nodes[index]!.status(() => fingerprint, now).kind,
 	};
 };
 
 const crashThrice = ({crash, pass}: ReturnType<typeof setUp>) => {
 	for (const index of [0, 1, 2]) {
 		crash(index, `life ${index}`, 'fatal');
-		pass(settleMs);
+		pass(crashReportWindowMs);
 	}
 
-	pass(settleMs);
+	pass(crashReportWindowMs);
 };
 
 test('crashes at three nodes add up, and all nodes know', (t: TestContext) => {
@@ -116,7 +121,7 @@
 test('a whole answer anywhere clears it everywhere', (t: TestContext) => {
 	const world = setUp(3);
 	world.crash(0, 'life 0', 'unlucky');
-	world.pass(settleMs);
+	world.pass(crashReportWindowMs);
 	t.assert.strictEqual(world.kind(2, 'unlucky'), 'suspect');
 	world.nodes[1]!.served(() => 'unlucky');
 	t.assert.strictEqual(world.kind(2, 'unlucky'), 'clear');
@@ -129,7 +134,7 @@
 		throw new Error('asked for');
 	};
 
-	t.assert.strictEqual(nodes[0]!.standing(unasked, 0).kind, 'clear');
+	t.assert.strictEqual(nodes[0]!.status(unasked, 0).kind, 'clear');
 	nodes[0]!.served(unasked);
 	pass(10 * quarantineGossipMs);
 	t.assert.deepStrictEqual(sent, []);
--- a/tests/registry/registry-follower.test.ts
+++ b/tests/registry/registry-follower.test.ts
@@ -4,7 +4,7 @@
 	createRegistryFollower,
 	createRegistryMirror,
 	startupPauseMs,
-	watchPauseMs,
+	registryPollPauseMs,
 } from '../../src/registry/index.ts';
 
 // Entries follow each other so fast that each question is answered at once.
@@ -36,10 +36,10 @@
 		hasJustStarted: () => hasJustStarted,
 		onRead: () => undefined,
 		clock: () => now,
-		draw: () => 0.5,
+		randomFraction: () => 0.5,
 		logger: createLogger('test'),
 		onChanges: () => undefined,
-		onNews: () => undefined,
+		announceChanges: () => undefined,
 	});
 	follower.start();
 	for (; now < spanMs; now += 10) {
@@ -59,6 +59,6 @@
 	t.assert.strictEqual(await questionsIn(t, spanMs, true), 3);
 	t.assert.strictEqual(
 		await questionsIn(t, spanMs, false),
-		Math.ceil(spanMs / watchPauseMs),
+		Math.ceil(spanMs / registryPollPauseMs),
 	);
 });
--- a/tests/registry/registry-mirror.test.ts
+++ b/tests/registry/registry-mirror.test.ts
@@ -355,14 +355,14 @@
 				entry(1);
 				for (const [index, each] of steps.entries()) {
 					if (index === announcedAt) {
-						mirror.leavingAnnounced('a', 'a 1');
+						mirror.recordShutdown('a', 'a 1');
 					}
 
 					take[each]();
 					assert.ok(index < announcedAt || !isUsable());
 				}
 
-				mirror.leavingAnnounced('a', 'a 1');
+				mirror.recordShutdown('a', 'a 1');
 				assert.ok(!isUsable());
 				entry(2);
 				assert.ok(isUsable());
@@ -378,7 +378,7 @@
 		0,
 		'registry',
 	);
-	first.leavingAnnounced('a', 'a 1');
+	first.recordShutdown('a', 'a 1');
 	const second = createRegistryMirror();
 	second.apply({kind: 'snapshot', ...first.snapshot(0)}, 0, 'peer');
 	assert.equal(second.servers().get('a')?.server.isLeaving, true);
--- a/tests/registry/registry-relay.test.ts
+++ b/tests/registry/registry-relay.test.ts
@@ -4,7 +4,7 @@
 	createRegistryFollower,
 	createRegistryMirror,
 	createRegistryRelay,
-	relayWaitMs,
+	relayLongPollMs,
 	type RegistryAnswer,
 	type RegistryItem,
 	type RelayedAnswer,
@@ -86,10 +86,10 @@
 			relay.release();
 		},
 		clock,
-		draw: () => 0.5,
+		randomFraction: () => 0.5,
 		logger,
 		onChanges: () => undefined,
-		onNews: () => undefined,
+		announceChanges: () => undefined,
 	});
 	const relay = createRegistryRelay({
 		mirror: readerMirror,
@@ -110,17 +110,17 @@
 			}
 
 			await new Promise((resolve) => {
-				setTimeout(resolve, relayWaitMs + 300);
+				setTimeout(resolve, relayLongPollMs + 300);
 			});
 			return undefined;
 		},
 		hasJustStarted: () => false,
 		onRead: () => undefined,
 		clock,
-		draw: () => 0.5,
+		randomFraction: () => 0.5,
 		logger,
 		onChanges: () => undefined,
-		onNews: () => undefined,
+		announceChanges: () => undefined,
 	});
 
 	// Steps of ten milliseconds, with what follows from each.
@@ -249,6 +249,6 @@
 	t.assert.strictEqual(answer.kind, 'snapshot');
 	t.mock.timers.enable({apis: ['setTimeout']});
 	const later = relay.answer({era: undefined, revision: 20});
-	t.mock.timers.tick(relayWaitMs);
+	t.mock.timers.tick(relayLongPollMs);
 	t.assert.strictEqual((await later).answer.kind, 'changes');
 });
--- a/tests/registry/registry-scene.test.ts
+++ b/tests/registry/registry-simulation.test.ts
@@ -3,19 +3,19 @@
 import {documentOf} from '../gateway/fixtures.ts';
 import {registeredServerOf} from './fixtures.ts';
 import {
-	createRegistryScene,
-	type RegistryScene,
-	type RegistrySceneOptions,
-} from './registry-scene.ts';
+	createRegistrySimulation,
+	type RegistrySimulation,
+	type RegistrySimulationOptions,
+} from './registry-simulation.ts';
 
 // A change binds all nodes this long after the registry has it, in milliseconds.
 const applyMs = 3000;
 
 const setUp = async (
 	t: TestContext,
-	change: Partial<RegistrySceneOptions> = {},
-): Promise<RegistryScene> => {
-	const scene = createRegistryScene(t, {
+	change: Partial<RegistrySimulationOptions> = {},
+): Promise<RegistrySimulation> => {
+	const scene = createRegistrySimulation(t, {
 		zones: 3,
 		nodes: 9,
 		hasEras: true,
@@ -25,16 +25,16 @@
 	writeVersion(scene, 1);
 	writeServer(scene, 'a');
 	writeServer(scene, 'b');
-	await scene.pass(4000);
+	await scene.advance(4000);
 	return scene;
 };
 
-const writeVersion = ({registry}: RegistryScene, version: number) => {
+const writeVersion = ({registry}: RegistrySimulation, version: number) => {
 	registry.write('routes', {kind: 'routes', document: documentOf({version})});
 };
 
 const writeServer = (
-	{registry}: RegistryScene,
+	{registry}: RegistrySimulation,
 	id: string,
 	change: Partial<RegisteredServer> = {},
 ) => {
@@ -46,28 +46,28 @@
 
 // The registry is away and comes back as it was after a revision.
 const restore = async (
-	{registry, pass}: RegistryScene,
+	{registry, advance}: RegistrySimulation,
 	revision: number,
 	awayMs = 1000,
 ) => {
 	registry.setUp(false);
-	await pass(awayMs);
+	await advance(awayMs);
 	registry.restore(revision);
 	registry.setUp(true);
 };
 
-const versions = ({nodes}: RegistryScene) =>
+const versions = ({nodes}: RegistrySimulation) =>
 	nodes.map(({mirror}) => mirror.routes()?.document.version);
 
-const eras = ({nodes}: RegistryScene) =>
+const eras = ({nodes}: RegistrySimulation) =>
 	nodes.map(({mirror}) => mirror.position().era);
 
 const everyNode = <Value>(
-	{nodes}: RegistryScene,
+	{nodes}: RegistrySimulation,
 	value: Value,
 ): readonly Value[] => nodes.map(() => value);
 
-const nodesUsing = ({nodes}: RegistryScene, id: string): number =>
+const nodesUsing = ({nodes}: RegistrySimulation, id: string): number =>
 	nodes.filter(
 		({mirror}) => mirror.servers().get(id)?.server.isLeaving === false,
 	).length;
@@ -80,15 +80,15 @@
 		const copy = scene.registry.revision();
 		for (const version of [2, 3, 4]) {
 			writeVersion(scene, version);
-			await scene.pass(500);
+			await scene.advance(500);
 		}
 
 		await restore(scene, copy);
-		await scene.pass(700);
+		await scene.advance(700);
 		await restore(scene, copy - 1, 300);
 		writeVersion(scene, 5);
 		writeServer(scene, 'a', {isLeaving: true});
-		await scene.pass(applyMs);
+		await scene.advance(applyMs);
 		t.assert.deepStrictEqual(versions(scene), everyNode(scene, 5));
 		t.assert.strictEqual(nodesUsing(scene, 'a'), 0);
 	});
@@ -98,10 +98,10 @@
 		const copy = scene.registry.revision();
 		writeVersion(scene, 2);
 		writeServer(scene, 'b', {isLeaving: true});
-		await scene.pass(applyMs);
+		await scene.advance(applyMs);
 		await restore(scene, copy);
 		scene.restart(4);
-		await scene.pass(2000);
+		await scene.advance(2000);
 		t.assert.deepStrictEqual(versions(scene), everyNode(scene, 2));
 		t.assert.strictEqual(nodesUsing(scene, 'b'), 0);
 	});
@@ -111,12 +111,12 @@
 		const copy = scene.registry.revision();
 		writeServer(scene, 'a', {isLeaving: true});
 		writeVersion(scene, 2);
-		await scene.pass(applyMs);
+		await scene.advance(applyMs);
 		await restore(scene, copy);
 		// As many changes as were lost, before any node has read the registry again.
 		writeVersion(scene, 3);
 		writeServer(scene, 'b', {isLeaving: true});
-		await scene.pass(applyMs);
+		await scene.advance(applyMs);
 		t.assert.deepStrictEqual(versions(scene), everyNode(scene, 3));
 		t.assert.strictEqual(nodesUsing(scene, 'b'), 0);
 	});
@@ -125,23 +125,23 @@
 		const scene = await setUp(t, {hasEras});
 		const copy = scene.registry.revision();
 		writeVersion(scene, 2);
-		await scene.pass(1000);
+		await scene.advance(1000);
 		const [reader, follower, , other] = scene.nodes;
 		reader!.isFrozen = true;
 		follower!.isCutFromRegistry = true;
 		follower!.isCutFromNodes = true;
 		other!.isCutFromRegistry = true;
 		await restore(scene, copy);
-		await scene.pass(2000);
+		await scene.advance(2000);
 		writeVersion(scene, 3);
-		await scene.pass(4000);
+		await scene.advance(4000);
 		reader!.isFrozen = false;
 		follower!.isCutFromRegistry = false;
 		follower!.isCutFromNodes = false;
-		await scene.pass(1000);
+		await scene.advance(1000);
 		writeVersion(scene, 4);
 		writeServer(scene, 'a', {isLeaving: true});
-		await scene.pass(applyMs);
+		await scene.advance(applyMs);
 		t.assert.deepStrictEqual(versions(scene), everyNode(scene, 4));
 		t.assert.strictEqual(nodesUsing(scene, 'a'), 0);
 	});
@@ -150,11 +150,11 @@
 		const scene = await setUp(t, {hasEras});
 		const copy = scene.registry.revision();
 		writeVersion(scene, 2);
-		await scene.pass(applyMs);
+		await scene.advance(applyMs);
 		scene.registry.restore(copy);
-		await scene.pass(400);
+		await scene.advance(400);
 		writeVersion(scene, 3);
-		await scene.pass(applyMs);
+		await scene.advance(applyMs);
 		t.assert.deepStrictEqual(versions(scene), everyNode(scene, 3));
 	});
 }
@@ -168,7 +168,7 @@
 	scene.registry.write('servers/a', undefined);
 	for (const version of [2, 3, 4]) {
 		writeVersion(scene, version);
-		await scene.pass(300);
+		await scene.advance(300);
 	}
 
 	for (const node of oldNodes) {
@@ -179,7 +179,7 @@
 	writeVersion(scene, 5);
 	writeServer(scene, 'a', {sequence: 9});
 	scene.registry.write('servers/b', undefined);
-	await scene.pass(applyMs);
+	await scene.advance(applyMs);
 	const used = scene.nodes
 		.filter((_, index) => !oldNodes.includes(index))
 		.map(
@@ -195,10 +195,10 @@
 		const scene = await setUp(t, {zones, nodes});
 		const copy = scene.registry.revision();
 		writeVersion(scene, 2);
-		await scene.pass(1000);
+		await scene.advance(1000);
 		const before = scene.registry.fullReads();
 		await restore(scene, copy, 500);
-		await scene.pass(5000);
+		await scene.advance(5000);
 		t.assert.ok(scene.registry.fullReads() - before <= 2 * zones);
 		t.assert.deepStrictEqual(eras(scene), everyNode(scene, 2));
 	});
@@ -208,12 +208,12 @@
 	const scene = await setUp(t, {zones: 1, nodes: 20});
 	const copy = scene.registry.revision();
 	writeVersion(scene, 2);
-	await scene.pass(1000);
+	await scene.advance(1000);
 	scene.nodes[0]!.isCutFromRegistry = true;
-	await scene.pass(1000);
+	await scene.advance(1000);
 	await restore(scene, copy, 500);
 	const reads: number[] = [];
-	await scene.pass(applyMs, () => {
+	await scene.advance(applyMs, () => {
 		reads.push(scene.registry.fullReads());
 	});
 	const mostAtOnce = Math.max(
@@ -229,11 +229,11 @@
 	for (let turn = 0; turn < 30; turn += 1) {
 		writeVersion(scene, turn + 2);
 		scene.registry.forgetHistory();
-		await scene.pass(100);
+		await scene.advance(100);
 	}
 
 	// Twice a second at most, and the first at once.
 	t.assert.ok(scene.registry.fullReads() - source <= 7);
-	await scene.pass(applyMs);
+	await scene.advance(applyMs);
 	t.assert.deepStrictEqual(versions(scene), everyNode(scene, 31));
 });
--- a/tests/registry/registry-scene.ts
+++ b/tests/registry/registry-simulation.ts
@@ -26,7 +26,7 @@
 /**
 A node of the scene.
 */
-export type SceneNode = {
+export type SimulatedNode = {
 	readonly mirror: RegistryMirror;
 	/**
 	What it does not reach, or whether it stands still.
@@ -39,16 +39,16 @@
 /**
 Nodes of several zones by turns, the first of a zone being the one that reads the registry for it.
 */
-export type RegistryScene = {
+export type RegistrySimulation = {
 	readonly registry: StandInRegistry;
-	readonly nodes: readonly SceneNode[];
+	readonly nodes: readonly SimulatedNode[];
 	now(): number;
 	/**
 	Lets time pass.
 
 	@param onStep Called after each step.
 	*/
-	pass(milliseconds: number, onStep?: () => void): Promise<void>;
+	advance(milliseconds: number, onStep?: () => void): Promise<void>;
 	/**
 	Replaces a node by one that knows nothing.
 	*/
@@ -59,7 +59,7 @@
 /**
 What a scene is built from.
 */
-export type RegistrySceneOptions = {
+export type RegistrySimulationOptions = {
 	readonly zones: number;
 	readonly nodes: number;
 	readonly hasEras: boolean;
@@ -74,7 +74,7 @@
 	readonly createMirror?: () => RegistryMirror;
 };
 
-type RunningNode = SceneNode & {
+type RunningNode = SimulatedNode & {
 	readonly follower: RegistryFollower;
 	readonly relay: RegistryRelay;
 	stampAt: number;
@@ -99,7 +99,7 @@
 /**
 Starts the nodes; time stands still until it is made to pass.
 */
-export const createRegistryScene = (
+export const createRegistrySimulation = (
 	{mock}: Pick<TestContext, 'mock'>,
 	{
 		zones,
@@ -108,8 +108,8 @@
 		seed = 1,
 		oldNodes = [],
 		createMirror = createRegistryMirror,
-	}: RegistrySceneOptions,
-): RegistryScene => {
+	}: RegistrySimulationOptions,
+): RegistrySimulation => {
 	mock.timers.enable({apis: ['setTimeout']});
 	const random = createRandom(seed);
 	const registry = createStandInRegistry({hasEras});
@@ -121,13 +121,13 @@
 		});
 
 	// A node that stands still goes on with nothing until it is thawed.
-	const untilThawed = async (node: SceneNode) => {
+	const untilThawed = async (node: SimulatedNode) => {
 		while (node.isFrozen) {
 			await wait(stepMs);
 		}
 	};
 
-	const sourceFor = (node: () => SceneNode): RegistrySource => {
+	const sourceFor = (node: () => SimulatedNode): RegistrySource => {
 		const source = registry.source();
 		const guard = async (
 			ask: () => Promise<RegistryAnswer>,
@@ -222,10 +222,10 @@
 				relay.release();
 			},
 			clock: () => now,
-			draw: random.fraction,
+			randomFraction: random.fraction,
 			logger,
 			onChanges: () => undefined,
-			onNews: () => undefined,
+			announceChanges: () => undefined,
 		});
 		const relay = createRegistryRelay({
 			mirror,
@@ -271,7 +271,7 @@
 		node.stampAt = now + stampIntervalMs;
 		const to = otherThan(index);
 		if (isReachable(to) && !node.isCutFromNodes) {
-			nodes[to]!.follower.heard(stampOf(index), addressOf(index));
+			nodes[to]!.follower.receiveStamp(stampOf(index), addressOf(index));
 		}
 	};
 
@@ -284,7 +284,7 @@
 		registry,
 		nodes,
 		now: () => now,
-		async pass(milliseconds, onStep = () => undefined) {
+		async advance(milliseconds, onStep = () => undefined) {
 			const until = now + milliseconds;
 			while (now < until) {
 				now += stepMs;
--- a/tests/registry/registry-stamp.test.ts
+++ b/tests/registry/registry-stamp.test.ts
@@ -1,5 +1,5 @@
 import {test, type TestContext} from 'node:test';
-import {questionFor} from '../../src/registry/peer-question.ts';
+import {catchUpPosition} from '../../src/registry/catch-up-position.ts';
 import {
 	decodeRegistryStamp,
 	encodeRegistryStamp,
@@ -10,7 +10,7 @@
 	era: 2,
 	revision: 20,
 	routesVersion: 7,
-	isBeyondRegistry: false,
+	isAheadOfRegistry: false,
 	...change,
 });
 
@@ -18,10 +18,10 @@
 const questionAfter = (
 	change: Partial<RegistryStamp>,
 	introducedEra?: number,
-) => questionFor({...stampOf(), era: 2}, stampOf(change), introducedEra);
+) => catchUpPosition({...stampOf(), era: 2}, stampOf(change), introducedEra);
 
 test('a stamp comes back from its form in a heartbeat', (t: TestContext) => {
-	const stamp = stampOf({isBeyondRegistry: true});
+	const stamp = stampOf({isAheadOfRegistry: true});
 	t.assert.deepStrictEqual(
 		decodeRegistryStamp(encodeRegistryStamp(stamp)),
 		stamp,
@@ -66,8 +66,8 @@
 test('a node that holds to what the registry lost is asked once an era', (t: TestContext) => {
 	const everything = {era: 0, revision: 0};
 	t.assert.deepStrictEqual(
-		questionAfter({isBeyondRegistry: true}, 1),
+		questionAfter({isAheadOfRegistry: true}, 1),
 		everything,
 	);
-	t.assert.strictEqual(questionAfter({isBeyondRegistry: true}, 2), undefined);
+	t.assert.strictEqual(questionAfter({isAheadOfRegistry: true}, 2), undefined);
 });
--- a/tests/registry/restored-copy.test.ts
+++ b/tests/registry/restored-copy.test.ts
@@ -3,7 +3,7 @@
 import {
 	createRegistryMirror,
 	heldBackMs,
-	keptEvacuationMs,
+	evacuationRetentionMs,
 	lapseGraceMs,
 	rewriteGraceMs,
 	type RegistryItem,
@@ -163,9 +163,9 @@
 			take(mirror, 'changes', [2, 21], [evacuationItem(21)]);
 		}
 
-		mirror.expire(keptEvacuationMs - 1);
+		mirror.expire(evacuationRetentionMs - 1);
 		assert.ok(mirror.isEvacuated(zone));
-		mirror.expire(keptEvacuationMs);
+		mirror.expire(evacuationRetentionMs);
 		assert.equal(mirror.isEvacuated(zone), isWritten);
 	}
 });
@@ -182,7 +182,7 @@
 	const mirror = nodeWith(item, removalOf(item, 60));
 	take(mirror, 'snapshot', [2, 20], [evacuationItem(10)]);
 	assert.ok(mirror.isEvacuated(zone));
-	mirror.expire(keptEvacuationMs);
+	mirror.expire(evacuationRetentionMs);
 	assert.ok(mirror.isEvacuated(zone));
 	take(mirror, 'changes', [2, 21], [removalOf(item, 21)]);
 	assert.ok(!mirror.isEvacuated(zone));
@@ -256,7 +256,7 @@
 		serverItemOf('removed', 12),
 	];
 	take(mirror, 'snapshot', [2, 20], copy);
-	assert.ok(mirror.stamp().isBeyondRegistry);
+	assert.ok(mirror.stamp().isAheadOfRegistry);
 	const newcomer = createRegistryMirror();
 	take(newcomer, 'snapshot', [2, 20], copy);
 	assert.ok(isUsed(newcomer, 'leaving') && isUsed(newcomer, 'removed'));
@@ -267,7 +267,7 @@
 	assert.ok(newcomer.isEvacuated(zone));
 	newcomer.expire(heldBackMs);
 	assert.ok(isUsed(newcomer, 'removed'));
-	newcomer.expire(keptEvacuationMs);
+	newcomer.expire(evacuationRetentionMs);
 	assert.ok(!newcomer.isEvacuated(zone));
 });
 
--- a/tests/registry/restored-registry-model.test.ts
+++ b/tests/registry/restored-registry-model.test.ts
@@ -1,6 +1,6 @@
 import {test, type TestContext} from 'node:test';
-import type {RegistryScene} from './registry-scene.ts';
-import {playRestoredRegistry} from './restored-registry-model.ts';
+import type {RegistrySimulation} from './registry-simulation.ts';
+import {runRestoreModel} from './restored-registry-model.ts';
 
 const lengthMs = 25_000;
 
@@ -11,7 +11,7 @@
 	for (const seed of seeds) {
 		test(`nothing safe goes back when a registry ${hasEras ? 'with' : 'without'} eras comes back from copies at random, seed ${seed}`, async (t: TestContext) => {
 			t.assert.deepStrictEqual(
-				await playRestoredRegistry(t, {seed, hasEras, lengthMs}),
+				await runRestoreModel(t, {seed, hasEras, lengthMs}),
 				[],
 			);
 		});
@@ -19,7 +19,7 @@
 }
 
 const faults = {
-	'an evacuation that ends too soon'({nodes}: RegistryScene) {
+	'an evacuation that ends too soon'({nodes}: RegistrySimulation) {
 		for (const {mirror} of nodes) {
 			mirror.expire(Infinity);
 		}
@@ -27,7 +27,7 @@
 	'a node that takes the copy for later than all it knows'({
 		nodes,
 		registry,
-	}: RegistryScene) {
+	}: RegistrySimulation) {
 		const {mirror} = nodes[4]!;
 		const {era} = mirror.position();
 		mirror.apply(
@@ -43,10 +43,15 @@
 	},
 } as const;
 
-for (const [name, plant] of Object.entries(faults)) {
+for (const [name, injectFault] of Object.entries(faults)) {
 	test(`the check of the model finds ${name}`, async (t: TestContext) => {
 		t.assert.notDeepStrictEqual(
-			await playRestoredRegistry(t, {seed: 1, hasEras: true, lengthMs, plant}),
+			await runRestoreModel(t, {
+				seed: 1,
+				hasEras: true,
+				lengthMs,
+				injectFault,
+			}),
 			[],
 		);
 	});
--- a/tests/registry/restored-registry-model.ts
+++ b/tests/registry/restored-registry-model.ts
@@ -2,15 +2,15 @@
 A registry that comes back from older copies of itself, what is written to it, and what its nodes must not forget.
 */
 import type {TestContext} from 'node:test';
-import {keptEvacuationMs} from '../../src/registry/index.ts';
+import {evacuationRetentionMs} from '../../src/registry/index.ts';
 import {createRandom, type Random} from '../../src/shared/index.ts';
 import {documentOf} from '../gateway/fixtures.ts';
 import {registeredServerOf} from './fixtures.ts';
 import {
-	createRegistryScene,
-	type RegistryScene,
-	type RegistrySceneOptions,
-} from './registry-scene.ts';
+	createRegistrySimulation,
+	type RegistrySimulation,
+	type RegistrySimulationOptions,
+} from './registry-simulation.ts';
 
 /**
 What a play is made from.
@@ -22,8 +22,8 @@
 	/**
 	Called at each step; may do what the check must find.
 	*/
-	readonly plant?: (scene: RegistryScene) => void;
-	readonly createMirror?: RegistrySceneOptions['createMirror'];
+	readonly injectFault?: (scene: RegistrySimulation) => void;
+	readonly createMirror?: RegistrySimulationOptions['createMirror'];
 };
 
 /**
@@ -41,7 +41,7 @@
 type Obligation = {
 	readonly at: number;
 	readonly name: string;
-	readonly meets: (node: RegistryScene['nodes'][number]) => boolean;
+	readonly meets: (node: RegistrySimulation['nodes'][number]) => boolean;
 	/**
 	Time after a return from a copy in which it does not bind, in milliseconds.
 	*/
@@ -62,17 +62,17 @@
 
 @returns What was broken; empty where nothing was.
 */
-export const playRestoredRegistry = async (
+export const runRestoreModel = async (
 	t: Pick<TestContext, 'mock'>,
 	{
 		seed,
 		hasEras,
 		lengthMs,
-		plant = () => undefined,
+		injectFault = () => undefined,
 		createMirror,
 	}: ModelOptions,
 ): Promise<readonly string[]> => {
-	const scene = createRegistryScene(t, {
+	const scene = createRegistrySimulation(t, {
 		zones,
 		nodes: nodeCount,
 		hasEras,
@@ -86,7 +86,7 @@
 	const checker = {
 		...checks,
 		step() {
-			plant(scene);
+			injectFault(scene);
 			checks.step();
 		},
 	};
@@ -96,7 +96,7 @@
 		writer.server(id);
 	}
 
-	await scene.pass(4000);
+	await scene.advance(4000);
 	const disturbances = createDisturbances(scene, random, checker);
 	const copies = [scene.registry.revision()];
 	let lapseAt = Infinity;
@@ -116,7 +116,7 @@
 			await disturbances.restore(copies.at(-1 - random.below(2)) ?? copies[0]!);
 			copies.splice(0, copies.length, scene.registry.revision());
 			lapseAt = scene.now() + lapseMs;
-			await scene.pass(random.below(600), checker.step);
+			await scene.advance(random.below(600), checker.step);
 			writer.all();
 		} else if (draw === 1) {
 			copies.push(scene.registry.revision());
@@ -126,22 +126,22 @@
 			writer.draw(random);
 		}
 
-		await scene.pass(50 + random.below(700), checker.step);
+		await scene.advance(50 + random.below(700), checker.step);
 	}
 
 	disturbances.end();
-	await scene.pass(lapseMs, checker.step);
+	await scene.advance(lapseMs, checker.step);
 	lapse();
-	await scene.pass(keptEvacuationMs, checker.step);
+	await scene.advance(evacuationRetentionMs, checker.step);
 	writer.routes();
-	await scene.pass(applyMs, checker.step);
+	await scene.advance(applyMs, checker.step);
 	checker.checkAgreement();
 	await scene.stop();
 	return [...broken];
 };
 
 const createWriter = (
-	{registry, now}: RegistryScene,
+	{registry, now}: RegistrySimulation,
 	truth: Truth,
 	checker: Checker,
 ) => {
@@ -184,7 +184,7 @@
 			({mirror}) =>
 				truth.evacuated.get(zone) !== since ||
 				mirror.isEvacuated(zone) === isActive,
-			isActive ? 0 : keptEvacuationMs,
+			isActive ? 0 : evacuationRetentionMs,
 		);
 	};
 
@@ -272,7 +272,7 @@
 type Checker = ReturnType<typeof createChecker>;
 
 const createChecker = (
-	scene: RegistryScene,
+	scene: RegistrySimulation,
 	truth: Truth,
 	broken: Set<string>,
 ) => {
@@ -382,7 +382,7 @@
 };
 
 const createDisturbances = (
-	{registry, nodes, pass, restart}: RegistryScene,
+	{registry, nodes, advance, restart}: RegistrySimulation,
 	random: Random,
 	checker: Checker,
 ) => {
@@ -428,7 +428,7 @@
 		async restore(revision: number) {
 			registry.setUp(false);
 			checker.restored();
-			await pass(100 + random.below(2500), checker.step);
+			await advance(100 + random.below(2500), checker.step);
 			registry.restore(revision);
 			registry.setUp(true);
 			checker.restored();
--- a/tests/requests/choose-target.test.ts
+++ b/tests/requests/choose-target.test.ts
@@ -6,7 +6,7 @@
 import {
 	createTargetChooser,
 	untried,
-	type HeardSummary,
+	type ReceivedZoneSummary,
 } from '../../src/requests/index.ts';
 import {
 	exampleConfiguration,
@@ -23,7 +23,7 @@
 	options: {
 		readonly current?: Configuration;
 		readonly reachable?: readonly string[];
-		readonly summary?: Partial<HeardSummary>;
+		readonly summary?: Partial<ReceivedZoneSummary>;
 	} = {},
 ) => {
 	const current = options.current ?? configuration;
@@ -41,7 +41,7 @@
 	const chooser = createTargetChooser({
 		availabilityZone: 'abj-wuse',
 		fleet,
-		limits: {hasRoom: () => true, rateOf: () => undefined},
+		limits: {canSend: () => true, rateOf: () => undefined},
 		random: fixedRandom(),
 		configuration: () => current,
 		membersIn: (zone) =>
--- a/tests/requests/read-request.test.ts
+++ b/tests/requests/parse-request.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import {
 	identifyClient,
-	readRequest,
+	parseRequest,
 	type IncomingRequest,
 } from '../../src/requests/index.ts';
 import {exampleConfiguration} from '../fixtures.ts';
@@ -13,7 +13,7 @@
 const context = {
 	configuration,
 	client: configuration.clients[0]!,
-	ownRegion: 'ibadan',
+	localRegion: 'ibadan',
 	now: 1000,
 	issueId: () => 'issued',
 };
@@ -31,7 +31,7 @@
 });
 
 const kindOf = (request: IncomingRequest, client = context.client) =>
-	readRequest(request, {...context, client}).match({
+	parseRequest(request, {...context, client}).match({
 		Ok: () => 'ok',
 		Err: ({kind}) => kind,
 	});
@@ -40,7 +40,9 @@
 	incoming({headers: {[name]: value}});
 
 test('a model call is read with its defaults', () => {
-	const request = readRequest(incoming(), context).unwrapOr(undefined as never);
+	const request = parseRequest(incoming(), context).unwrapOr(
+		undefined as never,
+	);
 	assert.equal(request.service.name, 'quill-scribes');
 	assert.equal(request.homeRegion, 'ibadan');
 	assert.equal(request.requestId, 'issued');
@@ -52,9 +54,10 @@
 
 test('a plain call is read by its path; its method decides whether it may be repeated', () => {
 	const read = (method: string) =>
-		readRequest(incoming({method, url: '/docket/pages?x=1'}), context).unwrapOr(
-			undefined as never,
-		);
+		parseRequest(
+			incoming({method, url: '/docket/pages?x=1'}),
+			context,
+		).unwrapOr(undefined as never);
 	assert.equal(read('GET').service.name, 'docket-desk');
 	assert.ok(read('GET').isRepeatable);
 	assert.ok(!read('POST').isRepeatable);
@@ -98,7 +101,7 @@
 });
 
 test('a request bound to one region is at home there', () => {
-	const request = readRequest(
+	const request = parseRequest(
 		withHeader('x-quillford-residency', 'abuja'),
 		context,
 	).unwrapOr(undefined as never);
@@ -106,7 +109,7 @@
 });
 
 test('a caller cannot pass itself off as another client by a label', () => {
-	const request = readRequest(
+	const request = parseRequest(
 		withHeader('x-quillford-labels', 'client=petitioners'),
 		context,
 	).unwrapOr(undefined as never);
@@ -128,7 +131,7 @@
 			fc.webPath(),
 			(headers, body, url) => {
 				for (const one of [url, '/v1/chat/completions']) {
-					const read = readRequest(
+					const read = parseRequest(
 						incoming({headers, url: one}, body),
 						context,
 					);
--- a/tests/requests/permits.test.ts
+++ b/tests/requests/permits.test.ts
@@ -4,7 +4,7 @@
 import {
 	createPermits,
 	parsePermit,
-	permitRetention,
+	permitRetentionMs,
 	type Permits,
 } from '../../src/requests/index.ts';
 
@@ -62,7 +62,7 @@
 		'forgotten',
 	);
 	const old = permits.issue(0);
-	assert.equal(permits.redeem(useOf(old), permitRetention).kind, 'forgotten');
+	assert.equal(permits.redeem(useOf(old), permitRetentionMs).kind, 'forgotten');
 	const forged = `${permits.issue(0).slice(0, -16)}0000000000000000`;
 	assert.equal(permits.redeem(useOf(forged), 1).kind, 'not-issued');
 	assert.equal(permits.redeem(useOf('anything'), 1).kind, 'not-issued');
@@ -75,12 +75,12 @@
 	permits.redeem(useOf(id), 1);
 	permits.end(id, 'ran', 'kept');
 	permits.redeem(
-		useOf(permits.issue(permitRetention * 3)),
-		permitRetention * 3,
+		useOf(permits.issue(permitRetentionMs * 3)),
+		permitRetentionMs * 3,
 	);
 	assert.equal(permits.size(), 1);
 	assert.equal(
-		permits.redeem(useOf(id), permitRetention * 3).kind,
+		permits.redeem(useOf(id), permitRetentionMs * 3).kind,
 		'forgotten',
 	);
 });
@@ -120,7 +120,7 @@
 			weight: 1,
 			arbitrary: fc.record({
 				kind: fc.constant('wait' as const),
-				ms: fc.integer({min: 0, max: permitRetention}),
+				ms: fc.integer({min: 0, max: permitRetentionMs}),
 			}),
 		},
 	);
--- a/tests/requests/kept-answer.test.ts
+++ b/tests/requests/replayable-answer.test.ts
@@ -3,8 +3,8 @@
 import {test} from 'node:test';
 import {createGatewayError, type Outcome} from '../../src/errors/index.ts';
 import {
-	keepAnswer,
-	maximumKeptLength,
+	createReplayableAnswer,
+	maximumReplayLength,
 	type Answer,
 	type StreamEnd,
 } from '../../src/requests/index.ts';
@@ -20,7 +20,7 @@
 
 const keep = (run: () => Promise<Answer>) => {
 	const ends: Outcome[] = [];
-	const kept = keepAnswer(run, (outcome) => {
+	const kept = createReplayableAnswer(run, (outcome) => {
 		ends.push(outcome);
 	});
 	return {kept, ends};
@@ -36,7 +36,7 @@
 });
 
 test('a long answer goes to its first reader and is not kept', async () => {
-	const {kept} = keep(async () => complete(maximumKeptLength + 1));
+	const {kept} = keep(async () => complete(maximumReplayLength + 1));
 	assert.equal(kindOf(await kept.read()), 'complete');
 	assert.equal(kindOf(await kept.read()), 'answer-not-kept');
 });
--- a/tests/requests/request-chain.test.ts
+++ b/tests/requests/request-chain.test.ts
@@ -21,7 +21,7 @@
 import {createMetrics, createRecorder} from '../../src/reporting/index.ts';
 import {
 	createAttempts,
-	createCapacityWait,
+	createCapacityQueue,
 	createInFlight,
 	createPermits,
 	createRequestChain,
@@ -29,10 +29,10 @@
 	createRequestQuarantine,
 	createStreamRelay,
 	createTargetChooser,
-	maximumKeptLength,
+	maximumReplayLength,
 	type Answer,
 	type IncomingRequest,
-	type KeptAnswer,
+	type ReplayableAnswer,
 } from '../../src/requests/index.ts';
 import {
 	createRetryBudget,
@@ -103,17 +103,17 @@
 			return (options.engine ?? whole)(call, sends);
 		},
 		readStatus: async () => Result.err('none'),
-		readLife: async () => ({kind: 'silent'}),
+		readProcessState: async () => ({kind: 'silent'}),
 		close: async () => undefined,
 	};
 	const peers = {} as unknown as PeerCalls;
 	const budget = createRetryBudget();
-	const permits = createPermits<KeptAnswer>({
+	const permits = createPermits<ReplayableAnswer>({
 		node: 'n',
 		epoch: '01',
 		secret: 's',
 	});
-	const capacity = createCapacityWait({
+	const capacity = createCapacityQueue({
 		clock,
 		maximumWaiting: 4,
 		maximumWaitMs: 10,
@@ -122,9 +122,9 @@
 	const quarantine = createQuarantine({
 		self: 'n',
 		usable: () => [],
-		tell: () => undefined,
-		ask(server) {
-			quarantine.refused(`${server} `, clock());
+		send: () => undefined,
+		probe(server) {
+			quarantine.connectionRefused(`${server} `, clock());
 		},
 		onQuarantined: () => undefined,
 		random,
@@ -135,8 +135,8 @@
 	const attempts = createAttempts({
 		clock,
 		quarantine: createRequestQuarantine(quarantine, fleet, clock),
-		limits: {sent: () => undefined},
-		statements: {answered: () => undefined},
+		limits: {recordSent: () => undefined},
+		statements: {recordAnswer: () => undefined},
 		fleet,
 		engines,
 		peers,
@@ -145,14 +145,14 @@
 		chooser: createTargetChooser({
 			availabilityZone: 'abj-wuse',
 			fleet,
-			limits: {hasRoom: () => true, rateOf: () => undefined},
+			limits: {canSend: () => true, rateOf: () => undefined},
 			random,
 			configuration: () => current?.configuration,
 			membersIn: () => [],
 			summaryOf: () => undefined,
 		}),
 		issueAttemptId: () => `attempt-${sends}`,
-		async caughtUp() {
+		async waitUntilUpToDate() {
 			quarantine.tick(clock());
 		},
 		isUpToDate: () => true,
@@ -163,7 +163,7 @@
 		clock,
 		wallClock: () => 0,
 		configuration: () => current,
-		ownRegion: () => 'abuja',
+		localRegion: () => 'abuja',
 		readiness: async () => options.obstacle,
 		limits: createClientLimits(() => 1),
 		permits,
@@ -173,7 +173,7 @@
 			relay: createStreamRelay(attempts, clock),
 			budget,
 		}),
-		askHolder: async () => ({
+		askIssuer: async () => ({
 			kind: 'refused',
 			error: createGatewayError('outcome-unknown', 'cannot be asked'),
 		}),
@@ -240,7 +240,7 @@
 test('of an id that may have run, a refusal before the permit never says not run', async () => {
 	const obstacle = createGatewayError('leaving', 'leaving');
 	const {chain} = createHarness({obstacle});
-	const foreign = createPermits<KeptAnswer>({
+	const foreign = createPermits<ReplayableAnswer>({
 		node: 'other',
 		epoch: '01',
 		secret: 'x',
@@ -346,7 +346,7 @@
 });
 
 test('an answer that was too long to keep is told to have run', async () => {
-	const long = JSON.stringify('x'.repeat(maximumKeptLength));
+	const long = JSON.stringify('x'.repeat(maximumReplayLength));
 	const engine: Engine = (call) =>
 		Result.ok({
 			status: 200,
--- a/tests/retries/retries.test.ts
+++ b/tests/retries/retries.test.ts
@@ -7,13 +7,13 @@
 	decideRetry,
 	maximumBalance,
 	retriesPerRequest,
-	type RetryQuestion,
+	type RetryContext,
 } from '../../src/retries/index.ts';
 
 const question = (
 	outcome: Outcome,
-	change: Partial<RetryQuestion> = {},
-): RetryQuestion => ({
+	change: Partial<RetryContext> = {},
+): RetryContext => ({
 	failure: {
 		outcome,
 		isStated: true,
--- a/tests/retries/retry-yield.test.ts
+++ b/tests/retries/retry-yield.test.ts
@@ -1,6 +1,9 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {createRetryYield, sampledRetries} from '../../src/retries/index.ts';
+import {
+	createRetryYield,
+	retrySampleInterval,
+} from '../../src/retries/index.ts';
 
 test('requests that fail wherever they run are soon retried as a sample only', () => {
 	const retryYield = createRetryYield();
@@ -8,22 +11,22 @@
 	for (let index = 0; index < 100; index += 1) {
 		if (retryYield.isWorthwhile('route')) {
 			retried += 1;
-			retryYield.note('route', false);
+			retryYield.record('route', false);
 		}
 	}
 
-	assert.ok(retried < 10 + 100 / sampledRetries);
+	assert.ok(retried < 10 + 100 / retrySampleInterval);
 	assert.ok(retried > 5);
 });
 
 test('a few retries that help bring them back', () => {
 	const retryYield = createRetryYield();
 	for (let index = 0; index < 50; index += 1) {
-		retryYield.note('route', false);
+		retryYield.record('route', false);
 	}
 
-	retryYield.note('route', true);
-	retryYield.note('route', true);
+	retryYield.record('route', true);
+	retryYield.record('route', true);
 	assert.ok(retryYield.isWorthwhile('route'));
 	assert.ok(retryYield.isWorthwhile('another'));
 });
--- a/tests/retries/window-retry-budget.test.ts
+++ b/tests/retries/window-retry-budget.test.ts
@@ -23,12 +23,12 @@
 			for (const {node, afterMs, requests: count, retries: wanted} of steps) {
 				now += afterMs;
 				for (let index = 0; index < count; index += 1) {
-					budgets[node]!.earn('s', now);
+					budgets[node]!.recordRequest('s', now);
 					requests.push(now);
 				}
 
 				for (let index = 0; index < wanted; index += 1) {
-					if (budgets[node]!.take('s', 5, now)) {
+					if (budgets[node]!.tryTake('s', 5, now)) {
 						retries.push(now);
 					}
 				}
@@ -50,7 +50,7 @@
 test('the slack is shared among the nodes', () => {
 	const budget = createWindowRetryBudget(bound);
 	let taken = 0;
-	while (budget.take('s', 9, 0)) {
+	while (budget.tryTake('s', 9, 0)) {
 		taken += 1;
 	}
 
--- a/tests/routing/strategies.test.ts
+++ b/tests/routing/strategies.test.ts
@@ -32,7 +32,7 @@
 ): ZoneCandidate => ({
 	availabilityZone: `${region}-a`,
 	region,
-	isOwn: false,
+	isLocal: false,
 	isHome: false,
 	load: 0,
 	slots: 100,
@@ -64,7 +64,7 @@
 		servers: candidates.map(({id}) => ({
 			id,
 		})) as unknown as readonly BackendServer[],
-		judge: ({id}) => byId.get(id),
+		candidateFor: ({id}) => byId.get(id),
 		meanUtilization: sumOf('load') / Math.max(1, sumOf('slots')),
 		typicalFirstTokenMs: times[Math.floor(times.length / 2)] ?? 0,
 	};
@@ -207,7 +207,7 @@
 	isOverflowing: false,
 };
 const home = zone('home', {
-	isOwn: true,
+	isLocal: true,
 	isHome: true,
 	expectedFirstTokenMs: 30,
 });
--- a/tests/server-statements/fixtures.ts
+++ b/tests/server-statements/fixtures.ts
@@ -17,7 +17,7 @@
 	change: Partial<StatedAnswer> = {},
 ): StatedAnswer => ({
 	server: 'a',
-	life: 'a 1',
+	incarnationId: 'a 1',
 	source: 'answer',
 	sentAt: 100,
 	receivedAt: 150,
--- a/tests/server-statements/leaving-broadcast.test.ts
+++ b/tests/server-statements/leaving-broadcast.test.ts
@@ -3,8 +3,8 @@
 import {createNodeOrder, createRandom} from '../../src/shared/index.ts';
 import {
 	createLeavingBroadcast,
-	leavingBroadcasts,
-	leavingRepeatMs,
+	leavingBroadcastCount,
+	leavingBroadcastIntervalMs,
 } from '../../src/server-statements/index.ts';
 
 const tickMs = 20;
@@ -35,7 +35,7 @@
 		createLeavingBroadcast({
 			self,
 			order: createNodeOrder(self, () => ids),
-			tellPeers(message) {
+			sendToPeers(message) {
 				for (const to of ids.keys()) {
 					if (to === index) {
 						continue;
@@ -49,20 +49,23 @@
 			},
 		}),
 	);
-	const endMs = 2 * leavingBroadcasts * leavingRepeatMs + 2000;
+	const endMs = 2 * leavingBroadcastCount * leavingBroadcastIntervalMs + 2000;
 	for (let now = 0; now < endMs; now += tickMs) {
 		const arrived = inbox;
 		inbox = [];
 		for (const {to, message} of arrived) {
-			for (const {life} of message.servers) {
-				broadcasts[to]!.heard(life);
+			for (const {incarnationId} of message.servers) {
+				broadcasts[to]!.recordPeerBroadcast(incarnationId);
 				known.add(to);
 			}
 		}
 
 		for (const [index, at] of told) {
 			if (at === now && !known.has(index)) {
-				broadcasts[index]!.learned({server: 'a', life: 'a 1'}, now);
+				broadcasts[index]!.recordAnnouncement(
+					{server: 'a', incarnationId: 'a 1'},
+					now,
+				);
 				known.add(index);
 			}
 		}
@@ -86,13 +89,13 @@
 		lossOf: isNeverLost,
 	});
 	t.assert.strictEqual(known, 95);
-	t.assert.strictEqual(messages, 94 * leavingBroadcasts);
+	t.assert.strictEqual(messages, 94 * leavingBroadcastCount);
 });
 
 test('messages do not grow with the square of the nodes when the server tells all of them at once', (t: TestContext) => {
 	const told = new Map(Array.from({length: 95}, (_, index) => [index, 0]));
 	const {messages} = playRegion({nodes: 95, told, lossOf: isNeverLost});
-	t.assert.ok(messages <= 2 * 94 * leavingBroadcasts, String(messages));
+	t.assert.ok(messages <= 2 * 94 * leavingBroadcastCount, String(messages));
 });
 
 test('with every fifth message lost, at most one node in a hundred is not told', (t: TestContext) => {
--- a/tests/server-statements/read-statements.test.ts
+++ b/tests/server-statements/read-statements.test.ts
@@ -23,7 +23,7 @@
 ] as const) {
 	test(`Retry-After of a 503 in a ${source} is read, with fractions`, (t: TestContext) => {
 		const answer = answerOf({'retry-after': '1.5'}, {source, status: 503});
-		t.assert.strictEqual(read(answer).statements.restMs, 1500);
+		t.assert.strictEqual(read(answer).statements.backoffMs, 1500);
 	});
 }
 
@@ -32,10 +32,10 @@
 		{'retry-after': '3'},
 		{source: 'relayed answer', status: 503},
 	);
-	t.assert.strictEqual(read(relayed).statements.restMs, undefined);
+	t.assert.strictEqual(read(relayed).statements.backoffMs, undefined);
 	for (const status of [200, 429, 500, 504]) {
 		const other = answerOf({'retry-after': '3'}, {status});
-		t.assert.strictEqual(read(other).statements.restMs, undefined);
+		t.assert.strictEqual(read(other).statements.backoffMs, undefined);
 	}
 });
 
@@ -94,7 +94,7 @@
 			fc.constantFrom(200, 421, 429, 503),
 			(headers, source, status) => {
 				const {statements} = read(answerOf(headers, {source, status}));
-				t.assert.ok((statements.restMs ?? 0) >= 0);
+				t.assert.ok((statements.backoffMs ?? 0) >= 0);
 			},
 		),
 	);
--- a/tests/server-statements/return-model.test.ts
+++ b/tests/server-statements/slow-start-model.test.ts
@@ -1,10 +1,14 @@
 import {test, type TestContext} from 'node:test';
-import {playReturn, slots} from './return-model.ts';
+import {simulateReturn, slots} from './slow-start-model.ts';
 
 for (const nodes of [2, 9, 24]) {
 	test(`${nodes} nodes return to a server with fewer requests at once than it has slots, and use it up within 1.5 s`, (t: TestContext) => {
 		for (let seed = 1; seed <= 10; seed += 1) {
-			const {most, usedAfterMs} = playReturn('spread and doubled', nodes, seed);
+			const {most, usedAfterMs} = simulateReturn(
+				'spread and doubled',
+				nodes,
+				seed,
+			);
 			t.assert.ok(most < slots, `seed ${seed}: ${most} within 50 ms`);
 			t.assert.ok(usedAfterMs <= 1500, `seed ${seed}: after ${usedAfterMs} ms`);
 		}
@@ -12,5 +16,5 @@
 }
 
 test('the check finds nodes that return all at once', (t: TestContext) => {
-	t.assert.ok(playReturn('at once', 9, 1).most >= slots);
+	t.assert.ok(simulateReturn('at once', 9, 1).most >= slots);
 });
--- a/tests/server-statements/return-model.ts
+++ b/tests/server-statements/slow-start-model.ts
@@ -1,11 +1,11 @@
 import {createRandom} from '../../src/shared/index.ts';
-import {createServerRests} from '../../src/server-statements/index.ts';
+import {createServerBackoffs} from '../../src/server-statements/index.ts';
 import {mostInSpan} from '../most-in-span.ts';
 
 /**
 How nodes return to a server after its rest.
 */
-export type ReturnWay = 'at once' | 'spread' | 'spread and doubled';
+export type ReturnStrategy = 'at once' | 'spread' | 'spread and doubled';
 
 /**
 What the return of all nodes to one server looked like.
@@ -45,23 +45,23 @@
 /**
 Plays nodes whose callers wait for one server, which reads prompts one after the other, from the end of its rest on.
 */
-export const playReturn = (
-	way: ReturnWay,
+export const simulateReturn = (
+	way: ReturnStrategy,
 	nodes: number,
 	seed: number,
 ): Return => {
 	const random = createRandom(seed);
 	const rests = Array.from({length: nodes}, () => {
 		const draw = way === 'at once' ? () => 0 : random.fraction;
-		const known = createServerRests(draw);
+		const known = createServerBackoffs(draw);
 		known.begin('a', restMs, -restMs);
 		return known;
 	});
 	const share = Math.max(1, Math.ceil(room / nodes));
 	const isAllowed = (node: number, held: number, now: number) =>
 		way === 'spread and doubled'
-			? rests[node]!.hasRoom('a', held, now)
-			: rests[node]!.leftMs('a', now) === 0;
+			? rests[node]!.canSend('a', held, now)
+			: rests[node]!.remainingMs('a', now) === 0;
 
 	const arrivals: number[] = [];
 	const held = Array.from({length: nodes}, () => 0);
@@ -72,7 +72,7 @@
 	for (let now = 0; now < spanMs; now += stepMs) {
 		for (const run of running) {
 			if (run.firstAt === now) {
-				rests[run.node]!.answered('a', now);
+				rests[run.node]!.recordAnswer('a', now);
 			}
 
 			if (run.endAt <= now) {
--- a/tests/soak/check-soak.test.ts
+++ b/tests/soak/check-soak.test.ts
@@ -31,7 +31,7 @@
 	resumedAfter: 0,
 	isRun: true,
 	isLeaving: false,
-	restMs: undefined,
+	backoffMs: undefined,
 	limit: undefined,
 	endedAt: 30,
 	...change,
@@ -44,7 +44,7 @@
 		records: [],
 		events: [],
 		disturbances: [],
-		calmFrom: Infinity,
+		recoveredAt: Infinity,
 		...history,
 	}).map(({promise}) => promise);
 
@@ -70,7 +70,7 @@
 				eventFor({requestId: '0-2', isRun: false}),
 				eventFor({requestId: '0-3'}),
 			],
-			calmFrom: 1,
+			recoveredAt: 1,
 		}),
 		[],
 	);
@@ -125,7 +125,7 @@
 		'rest',
 		{
 			events: [10, 600, 700, 800].map((at, index) =>
-				eventFor({at, requestId: `0-${index}`, isRun: false, restMs: 1500}),
+				eventFor({at, requestId: `0-${index}`, isRun: false, backoffMs: 1500}),
 			),
 		},
 	],
@@ -162,7 +162,7 @@
 	[
 		'callers that are not served when all is sound again',
 		'recovery',
-		{records: [recordOf({status: 504, isWhole: false})], calmFrom: 0},
+		{records: [recordOf({status: 504, isWhole: false})], recoveredAt: 0},
 	],
 ];
 
--- a/tools/experiment.ts
+++ b/tools/experiment.ts
@@ -18,7 +18,7 @@
 import process from 'node:process';
 import {parseArgs} from 'node:util';
 import * as z from 'zod';
-import {mechanisms, parseWithout} from '../src/mechanisms/index.ts';
+import {mechanisms, parseDisabledMechanisms} from '../src/mechanisms/index.ts';
 import {compareVariants, type Play} from './experiment/compare.ts';
 import {drawBars} from './plots/draw-bars.ts';
 
@@ -231,7 +231,9 @@
 
 const {QUILLFORD_BENCH: bench} = process.env;
 const names =
-	options.without === 'all' ? undefined : parseWithout(options.without);
+	options.without === 'all'
+		? undefined
+		: parseDisabledMechanisms(options.without);
 if (bench === undefined || options.sites === '' || options.days === '') {
 	process.stdout.write(
 		'skipped: set QUILLFORD_BENCH to the program of the bench, and name --sites and --days\n',
