--- a/src/gateway/choosing/choose-prompt-node.ts
+++ b/src/gateway/choosing/choose-prompt-node.ts
@@ -13,16 +13,16 @@
 } from './region-nodes.ts';
 
 /**
-What the choice for a long prompt is made from.
+Options of `choosePromptNode`.
 */
 export type PromptNodeOptions = RegionNodesOptions & {
 	readonly without: DisabledMechanisms;
 	/**
-	This node.
+	The membership entry of this node.
 	*/
 	readonly self: () => Member;
 	/**
-	The backend server by which a shared prompt part is placed, with its region.
+	Finds the home of a shared prompt part: the backend server that is to have it in its cache.
 	*/
 	readonly promptHome: (
 		exchange: Exchange,
@@ -30,15 +30,15 @@
 	) => PromptCandidate | undefined;
 };
 
-// A prompt goes to the region that holds it even when that is rather full: reading it anew would
-// load the own region by as much.
-const fullestHome = 1.3;
+// A prompt is not forwarded to a home region with a higher load per slot than this. The bound exceeds 1 because
+// prefilling the prompt in the local region would add as much load here.
+const maximumHomeCost = 1.3;
 
 /**
-Chooses the other node by way of which a long prompt goes; undefined where it is placed as any other
-request.
+Chooses the nodes to which a request with a long prompt is forwarded. Returns undefined if the request is placed
+like any other.
 
-Reading a long prompt again costs far more than the way to where it is kept.
+Prefilling a long prompt again costs far more than forwarding the request to the server that has it cached.
 */
 export const choosePromptNode = (
 	options: PromptNodeOptions,
@@ -51,23 +51,23 @@
 			? options.promptHome(exchange, sharedPart.id)
 			: undefined;
 	if (home?.region === options.localRegion) {
-		return nodeNearby(options, home, tried);
+		return nodeInLocalRegion(options, home, tried);
 	}
 
 	const remote = home && nodesOfRegion(options, home.region, exchange, tried);
-	return remote && remote.cost < fullestHome
+	return remote && remote.cost < maximumHomeCost
 		? {...remote, members: nodesFor(options, home, remote.members)}
 		: undefined;
 };
 
-// Undefined where it is this node, or the node of the own region has no room.
-const nodeNearby = (
+// Returns undefined if the chosen node is this one, or if the local region has refused the request.
+const nodeInLocalRegion = (
 	options: PromptNodeOptions,
 	home: PromptCandidate,
 	tried: TriedTargets,
 ): RegionNodes | undefined => {
 	const {localRegion, without} = options;
-	// Where nodes tell each other what is still to be read, the way by one node spares nothing.
+	// If nodes exchange their prefill backlogs, there is no gain in forwarding to a single node.
 	if (without.has('prompt-nodes') || !without.has('told-reading')) {
 		return undefined;
 	}
@@ -80,8 +80,8 @@
 		: {region: localRegion, members: [node], cost: 0};
 };
 
-// Long prompts for one server go by way of one node of its region: it knows of all of them that are
-// under way, and nodes with requests of their own would each see a server that has nothing to read.
+// Sends all long prompts for a server through one node of its region, because that node knows all of them that are
+// in flight. If several nodes sent them, each would see a server without a prefill backlog.
 const nodesFor = (
 	{without}: PromptNodeOptions,
 	{id: server}: PromptCandidate,
--- a/src/gateway/choosing/choose-upstream.ts
+++ b/src/gateway/choosing/choose-upstream.ts
@@ -18,11 +18,11 @@
 } from './region-nodes.ts';
 
 /**
-Where a request goes next.
+The next target of a request.
 */
 export type UpstreamChoice =
 	/**
-	There is no room now, but there may be soon.
+	No server has capacity now, but one may have it soon.
 	*/
 	| Extract<LocalChoice, {kind: 'full'}>
 	| {readonly kind: 'server'; readonly id: string}
@@ -32,24 +32,24 @@
 			readonly region: string;
 	  }
 	/**
-	No backend server that may serve it can be reached.
+	No backend server that may serve the request can be reached.
 	*/
 	| {readonly kind: 'none'};
 
 /**
-What the choice is made from.
+Options of `createUpstreamChooser`.
 */
 export type UpstreamChooserOptions = PromptNodeOptions & {
 	readonly fleet: BackendFleet;
 	/**
-	Whether a request to a node would need no new connection.
+	Whether a request to a node can use an open, idle connection.
 	*/
 	readonly hasIdleConnection: (member: Member) => boolean;
 	readonly random: Random;
 };
 
 /**
-Chooses between the own region and others.
+Chooses between the servers of the local region and the nodes of other regions.
 */
 export type UpstreamChooser = (
 	exchange: Exchange,
@@ -58,24 +58,24 @@
 	now: number,
 ) => UpstreamChoice;
 
-// What another region costs besides its load: the round trip, a cold prompt and the price of the
-// bytes. With it, a region must be about two thirds emptier than the own one.
+// Cost of another region in addition to its load: the round trip, a cold prompt cache and the price of the traffic.
+// With it, another region must be about two thirds emptier than this one.
 const distanceCost = 0.7;
-// A region fuller than this is not sent more.
-const fullestRemote = 0.9;
-// Below this cost the own region serves whatever the others hold.
-const comfortableCost = 1;
+// Regions with a higher load per slot than this receive no overflow.
+const maximumRemoteCost = 0.9;
+// Up to this cost, the local region serves the request regardless of the load of other regions.
+const acceptableLocalCost = 1;
 
 /**
-Builds a chooser. The own region goes first; another one is chosen where the own may not serve
-the route, has no server, or is full while the other has room.
+Creates a chooser. It prefers the local region. It chooses another region if this one may not serve the route or has no
+server, or if this one is full or clearly more loaded while the other has capacity.
 */
 export const createUpstreamChooser = (
 	options: UpstreamChooserOptions,
 ): UpstreamChooser => {
 	const {localRegion, fleet, without} = options;
 
-	// Opening a connection takes as long as the way to another region and back.
+	// Prefers nodes with an idle connection, because opening one takes a round trip to the other region.
 	const toPeer = ({members, region}: RegionNodes): UpstreamChoice => {
 		const connected = members.filter((each) => options.hasIdleConnection(each));
 		const candidates = connected.length > 0 ? connected : members;
@@ -84,25 +84,26 @@
 	};
 
 	return (exchange, tried, placement, now) => {
-		// A request that came from another node is never sent on: that rules out loops.
-		const home = exchange.hop
+		// A forwarded request is never forwarded again, which rules out loops.
+		const remoteHome = exchange.hop
 			? undefined
 			: choosePromptNode(options, exchange, tried, placement);
-		if (home) {
-			return toPeer(home);
+		if (remoteHome) {
+			return toPeer(remoteHome);
 		}
 
 		const local: LocalChoice = isRegionAllowed(exchange.route, localRegion)
 			? fleet.choose(placement, now)
 			: {kind: 'none'};
-		if (local.kind === 'server' && local.cost <= comfortableCost) {
+		if (local.kind === 'server' && local.cost <= acceptableLocalCost) {
 			return local;
 		}
 
-		// What may have crashed servers here is not carried to another region while there are servers here.
-		const isKeptHere = placement.isIsolated === true && local.kind === 'full';
+		// A request that may have crashed servers here does not go to another region while this one has servers.
+		const shouldStayLocal =
+			placement.isIsolated === true && local.kind === 'full';
 		const remote =
-			isKeptHere || exchange.hop !== undefined
+			shouldStayLocal || exchange.hop !== undefined
 				? undefined
 				: nodesOfLeastLoadedRegion(options, exchange, tried);
 		if (!remote) {
@@ -112,7 +113,7 @@
 		const isRemoteBetter =
 			local.kind === 'none' ||
 			(!without.has('overflow') &&
-				remote.cost < fullestRemote &&
+				remote.cost < maximumRemoteCost &&
 				(local.kind === 'full' || remote.cost + distanceCost < local.cost));
 		return isRemoteBetter ? toPeer(remote) : local;
 	};
--- a/src/gateway/choosing/gateway-chooser.ts
+++ b/src/gateway/choosing/gateway-chooser.ts
@@ -18,22 +18,22 @@
 import {findPromptHome, type PromptCandidate} from './prompt-home.ts';
 
 /**
-Chooses where requests go, by what this node knows of other nodes and regions.
+Chooses the targets of requests from what this node knows about other nodes and regions.
 */
 export type GatewayChooser = {
 	readonly choose: UpstreamChooser;
 	/**
-	Says that a node could not be reached; it is sent nothing for a while.
+	Records that a node could not be reached. No requests go to it for `peerBackoffMs`.
 	*/
 	peerFailed(member: Member): void;
 };
 
 /**
-What the choice is made from.
+Options of `createGatewayChooser`.
 */
 export type GatewayChooserOptions = {
 	/**
-	All availability zones and their regions.
+	The region of each availability zone.
 	*/
 	readonly zones: Readonly<Record<string, string>>;
 	readonly regions: readonly string[];
@@ -42,7 +42,7 @@
 	readonly fleet: BackendFleet;
 	readonly placement: PlacementView;
 	/**
-	Whether a backend server is known to keep a prompt part.
+	Whether a backend server is known to have a prompt part in its cache.
 	*/
 	readonly isCached: (server: string, part: string) => boolean;
 	readonly client: Pick<UpstreamClient, 'hasIdleConnection'>;
@@ -51,11 +51,11 @@
 	readonly clock: () => number;
 };
 
-// How long a node that could not be reached is sent nothing, in milliseconds.
-const peerPauseMs = 1500;
+// Time for which no requests go to a node that could not be reached, in milliseconds.
+const peerBackoffMs = 1500;
 
 /**
-Builds the chooser of one node.
+Creates the chooser of a node.
 */
 export const createGatewayChooser = (
 	options: GatewayChooserOptions,
@@ -81,12 +81,12 @@
 			without: options.without,
 		}),
 		peerFailed({id}) {
-			unreachableUntil.set(id, clock() + peerPauseMs);
+			unreachableUntil.set(id, clock() + peerBackoffMs);
 		},
 	};
 };
 
-// The load of a region is that of its fullest zone.
+// The load of a region is the load of its most loaded zone.
 const loadIn = (
 	{zones, placement, mesh, clock}: GatewayChooserOptions,
 	region: string,
@@ -103,24 +103,25 @@
 	return {load, slots};
 };
 
-// Servers that keep the part go before those that would have to read it, the own region's first.
+// Prefers servers that have the part cached over those that would have to prefill it, and among the former those of
+// the local region.
 const promptHome = (
 	{localRegion, placement, isCached}: GatewayChooserOptions,
 	{route, service}: Exchange,
 	part: string,
 ): PromptCandidate | undefined => {
-	const holders = placement
+	const candidates = placement
 		.candidates(service)
 		.filter(({region}) => isRegionAllowed(route, region));
-	const keepers = holders.filter(({id}) => isCached(id, part));
-	const near = keepers.find(({region}) => region === localRegion);
-	if (near) {
-		return near;
+	const cached = candidates.filter(({id}) => isCached(id, part));
+	const local = cached.find(({region}) => region === localRegion);
+	if (local) {
+		return local;
 	}
 
 	return findPromptHome(
 		part,
-		keepers.length > 0 ? keepers : holders,
+		cached.length > 0 ? cached : candidates,
 		placement.weights(route),
 	);
 };
--- a/src/gateway/choosing/placement-view.ts
+++ b/src/gateway/choosing/placement-view.ts
@@ -7,26 +7,26 @@
 } from './prompt-home.ts';
 
 /**
-The backend servers of all regions, grouped for the choice between regions.
+The backend servers of all regions, indexed by service and region.
 */
 export type PlacementView = {
 	/**
-	To be called when the registry's copy has changed.
+	Rebuilds the index. It must be called when the local copy of the registry has changed.
 	*/
 	refresh(): void;
 	/**
-	Servers of a service that may be used, in all regions.
+	Returns the servers of a service in all regions, without those that are leaving or in an evacuated zone.
 	*/
 	candidates(service: string): readonly PromptCandidate[];
 	/**
-	Requests that the servers of a region run at the same time.
+	Returns the number of requests of a service that the servers of a region can run at the same time.
 	*/
 	slotsIn(region: string, service: string): number;
 	weights(route: Route): RegionWeights;
 };
 
 /**
-What a view is built from.
+Options of `createPlacementView`.
 */
 export type PlacementViewOptions = {
 	readonly mirror: RegistryMirror;
@@ -35,19 +35,19 @@
 };
 
 /**
-Builds an empty view.
+Creates a view that is empty until its first `refresh`.
 */
 export const createPlacementView = (
 	options: PlacementViewOptions,
 ): PlacementView => {
 	const {mirror, regionOf} = options;
-	const holders = new Map<string, PromptCandidate[]>();
+	const candidates = new Map<string, PromptCandidate[]>();
 	const slots = new Map<string, number>();
 	const weights = new Map<string, RegionWeights>();
 
 	return {
 		refresh() {
-			holders.clear();
+			candidates.clear();
 			slots.clear();
 			weights.clear();
 			for (const {server} of mirror.servers().values()) {
@@ -59,12 +59,12 @@
 				const region = regionOf(availabilityZone);
 				const key = `${region}/${service}`;
 				slots.set(key, (slots.get(key) ?? 0) + server.slots);
-				const held = holders.get(service) ?? [];
-				held.push({id, region});
-				holders.set(service, held);
+				const ofService = candidates.get(service) ?? [];
+				ofService.push({id, region});
+				candidates.set(service, ofService);
 			}
 		},
-		candidates: (service) => holders.get(service) ?? [],
+		candidates: (service) => candidates.get(service) ?? [],
 		slotsIn: (region, service) => slots.get(`${region}/${service}`) ?? 0,
 		weights(route) {
 			const known = weights.get(route.name);
@@ -73,9 +73,9 @@
 			}
 
 			const routes = mirror.routes()?.document.routes ?? [];
-			const weighed = weighRegions(route, routes, options.regions);
-			weights.set(route.name, weighed);
-			return weighed;
+			const computed = weighRegions(route, routes, options.regions);
+			weights.set(route.name, computed);
+			return computed;
 		},
 	};
 };
--- a/src/gateway/choosing/prompt-home.ts
+++ b/src/gateway/choosing/prompt-home.ts
@@ -2,23 +2,23 @@
 import {keyedWeight} from '../../shared/index.ts';
 
 /**
-A backend server that may hold a prompt.
+A backend server that may become the home of a prompt part.
 */
 export type PromptCandidate = {readonly id: string; readonly region: string};
 
 /**
-Weight of a server by its region: how much more often it is chosen than others.
+Weights of regions. Servers are chosen in proportion to the weight of their region.
 */
 export type RegionWeights = ReadonlyMap<string, number>;
 
-// A server that serves no other route can hold about this many times as many prompts.
-const undisturbedWeight = 3;
+// A server that serves no other route can cache about this many times as many prompts.
+const exclusiveRegionWeight = 3;
 
 const hashRange = 2 ** 32;
 
 /**
-Weighs regions for the long prompts of a route. Long prompts delay the streams that run beside
-them, so servers that the other routes of the service may not use come first.
+Computes the region weights for the long prompts of a route. Prefilling a long prompt delays the streams that run on
+the same server, so regions that the other routes of the service may not use get a higher weight.
 */
 export const weighRegions = (
 	route: Route,
@@ -34,33 +34,33 @@
 	);
 	return new Map(
 		regions.map((region) => {
-			const isDisturbed =
+			const isShared =
 				others.length === 0 ||
 				others.some((other) => isRegionAllowed(other, region));
-			return [region, isDisturbed ? 1 : undisturbedWeight];
+			return [region, isShared ? 1 : exclusiveRegionWeight];
 		}),
 	);
 };
 
 /**
-The one server, over all regions, by which a prompt part is placed: weighted rendezvous hashing, so
-that each node finds the same one without a message, and a server that goes moves its own parts only.
+Finds the home of a prompt part among the servers of all regions by weighted rendezvous hashing. All nodes find the
+same server without exchanging messages, and the removal of a server moves only the parts that were placed at it.
 */
 export const findPromptHome = (
 	part: string,
-	holders: readonly PromptCandidate[],
+	candidates: readonly PromptCandidate[],
 	weights: RegionWeights,
 ): PromptCandidate | undefined => {
 	const weightOf = keyedWeight(part);
 	let best:
-		{readonly holder: PromptCandidate; readonly score: number} | undefined;
-	for (const holder of holders) {
-		const draw = (weightOf(holder.id) + 1) / (hashRange + 1);
-		const score = (weights.get(holder.region) ?? 1) / -Math.log(draw);
+		{readonly candidate: PromptCandidate; readonly score: number} | undefined;
+	for (const candidate of candidates) {
+		const fraction = (weightOf(candidate.id) + 1) / (hashRange + 1);
+		const score = (weights.get(candidate.region) ?? 1) / -Math.log(fraction);
 		if (!best || score > best.score) {
-			best = {holder, score};
+			best = {candidate, score};
 		}
 	}
 
-	return best?.holder;
+	return best?.candidate;
 };
--- a/src/gateway/choosing/region-nodes.ts
+++ b/src/gateway/choosing/region-nodes.ts
@@ -4,47 +4,50 @@
 import type {Exchange} from '../exchange.ts';
 
 /**
-What a request has met so far.
+The targets that a request has already tried.
 */
 export type TriedTargets = {
 	/**
-	Regions that refused it, and nodes that could not be reached.
+	Regions that refused the request for lack of capacity.
 	*/
 	readonly regions: ReadonlySet<string>;
+	/**
+	Nodes that the request was sent to.
+	*/
 	readonly members: ReadonlySet<string>;
 };
 
 /**
-Nodes of one region, any of which may be sent a request.
+Nodes of a region. A request may be sent to any of them.
 */
 export type RegionNodes = {
 	readonly region: string;
 	readonly members: readonly Member[];
 	/**
-	Its load by its room.
+	Load of the region per slot.
 	*/
 	readonly cost: number;
 };
 
 /**
-What nodes are found from.
+Options of the functions that find nodes.
 */
 export type RegionNodesOptions = {
 	readonly localRegion: string;
 	readonly regions: readonly string[];
 	/**
-	Nodes of a region that can be given work.
+	Returns the nodes of a region that accept requests.
 	*/
 	readonly membersIn: (region: string) => readonly Member[];
 	/**
-	Load and room of a service in another region, as far as known.
+	Returns the last known load and the slots of a service in another region.
 	*/
 	readonly loadIn: (region: string, service: string) => ServiceLoad;
 };
 
 /**
-Finds the nodes of another region; undefined where the request may not be sent there, or nothing
-there can take it.
+Finds the nodes of another region to which a request may be sent. Returns undefined if the region may not serve the
+request, has refused it, has no slots, or has no untried node.
 */
 export const nodesOfRegion = (
 	options: RegionNodesOptions,
@@ -52,11 +55,11 @@
 	exchange: Exchange,
 	tried: TriedTargets,
 ): RegionNodes | undefined => {
-	const isOpen =
+	const isEligible =
 		region !== options.localRegion &&
 		isRegionAllowed(exchange.route, region) &&
 		!tried.regions.has(region);
-	if (!isOpen) {
+	if (!isEligible) {
 		return undefined;
 	}
 
@@ -68,7 +71,7 @@
 };
 
 /**
-Finds the nodes of the other region that has the least load by its room.
+Finds the nodes of the other region with the lowest load per slot.
 */
 export const nodesOfLeastLoadedRegion = (
 	options: RegionNodesOptions,
@@ -87,7 +90,7 @@
 };
 
 /**
-Nodes of a region that a request has not met yet.
+Returns the nodes of a region that a request has not tried yet.
 */
 export const untriedIn = (
 	{membersIn}: Pick<RegionNodesOptions, 'membersIn'>,
--- a/tests/gateway/choosing/choose-upstream.test.ts
+++ b/tests/gateway/choosing/choose-upstream.test.ts
@@ -95,7 +95,7 @@
 	hop: {origin: 'other', excluded: [], canWait: false},
 };
 
-test('the own region serves while it has room', () => {
+test('a request is served in the local region while that has capacity', () => {
 	const {choose} = setUp({});
 	assert.equal(
 		regionOf(choose(exchangeOf(), nothingTried, placementOf(), 0)),
@@ -103,7 +103,7 @@
 	);
 });
 
-test('a route with homes never leaves them, at the origin nor at the receiver', () => {
+test('requests of a route with home regions never leave them, neither at the origin nor at the receiver', () => {
 	const {choose} = setUp({promptRegion: 'far'});
 	const route = routeOf({homeRegions: ['near']});
 	const placement = placementOf({sharedPart: {id: 'p', tokens: 9000}});
@@ -119,7 +119,7 @@
 	);
 });
 
-test('a forwarded request is never sent on, even without a server here', () => {
+test('a forwarded request is never forwarded again, even without a local server', () => {
 	const {choose} = setUp({localServers: 0, promptRegion: 'near'});
 	const chosen = choose(
 		exchangeOf(forwarded),
@@ -130,7 +130,7 @@
 	assert.equal(regionOf(chosen), 'none');
 });
 
-test('a prompt goes to the region that holds it, unless that is full or cut off', () => {
+test('a prompt goes to its home region, unless that is full or unreachable', () => {
 	const placement = placementOf({sharedPart: {id: 'p', tokens: 9000}});
 	const place = (options: Parameters<typeof setUp>[0]) =>
 		regionOf(
@@ -146,7 +146,7 @@
 	assert.equal(place({members: ['near']}), 'server');
 });
 
-test('a full region sends to the emptiest other one, and waits where all are full', () => {
+test('a full region overflows to the least loaded other one, and queues requests if all are full', () => {
 	const {choose, fleet} = setUp({
 		loads: {near: {load: 6, slots: 8}, far: {load: 1, slots: 8}},
 	});
@@ -163,7 +163,7 @@
 	assert.equal(regionOf(choose(exchange, tried, placementOf(), 0)), 'full');
 });
 
-test('nodes to which a connection rests go first, by turns, and any node where there is none', () => {
+test('requests spread over the nodes with an idle connection, or over all nodes if there is none', () => {
 	const chosen = (connected: readonly string[]) => {
 		const {choose} = setUp({localServers: 0, nodesPerRegion: 6, connected});
 		const members = new Set<string>();
@@ -185,7 +185,7 @@
 	assert.equal(chosen([]).length, 6);
 });
 
-test('long prompts for one server go by way of one node, those for others by way of others', () => {
+test('long prompts for one server go through one node, and those for other servers through others', () => {
 	const nodesFor = (promptServer: string) => {
 		const {choose} = setUp({
 			nodesPerRegion: 6,
@@ -222,18 +222,18 @@
 	});
 };
 
-test('a long prompt for a server of the own region is sent from here: nodes tell each other what is to be read', () => {
+test('a long prompt for a local server is not forwarded if nodes exchange their prefill backlogs', () => {
 	assert.deepEqual([...new Set(nearbyNodes(new Set()))], ['server']);
 });
 
-test('where they do not, it goes by way of the node drawn by the server, which may be this one', () => {
+test('if they do not exchange them, the prompt goes through the node hashed from the server, which may be this one', () => {
 	const chosen = nearbyNodes(new Set(['told-reading']));
 	assert.deepEqual([...new Set(chosen)].toSorted(), ['home', 'server']);
 	const own = chosen.filter((region) => region === 'server').length;
 	assert.ok(own > 15 && own < 45);
 });
 
-test('a long prompt stays here where the node drawn for it had no room, or it was forwarded', () => {
+test('a long prompt stays here if its node had no capacity, or if the request was forwarded', () => {
 	const placement = placementOf({sharedPart: {id: 'p', tokens: 9000}});
 	for (let index = 0; index < 20; index += 1) {
 		const {choose} = setUp({
