--- a/src/requests/answer.ts
+++ b/src/requests/answer.ts
@@ -7,13 +7,13 @@
 export type AnswerHeaders = Readonly<Record<string, string>>;
 
 /**
-How an answer was come by; reported, and told to the caller in headers.
+Target that served a request; goes into reports and into the response headers.
 */
 export type ServedBy = {
 	readonly region: string;
 	readonly availabilityZone: string;
 	/**
-	The backend server, or the node that chose one in another zone.
+	Id of the backend server, or of the node in another zone that chose one.
 	*/
 	readonly target: string;
 	readonly attempts: number;
@@ -21,7 +21,7 @@
 };
 
 /**
-What happened to a stream by its end.
+How a stream ended.
 */
 export type StreamEnd =
 	| {readonly kind: 'complete'; readonly tokens: number}
@@ -49,7 +49,7 @@
 			readonly status: number;
 			readonly headers: AnswerHeaders;
 			/**
-			Pieces of the event stream; returns how it ended.
+			Chunks of the event stream; the return value says how it ended.
 			*/
 			readonly pieces: AsyncGenerator<string, StreamEnd, void>;
 			readonly servedBy: ServedBy;
--- a/src/requests/attempt-answers.ts
+++ b/src/requests/attempt-answers.ts
@@ -5,12 +5,12 @@
 import type {GatewayRequest} from './gateway-request.ts';
 
 /**
-The longest body of an answer that is not streamed, in bytes.
+Maximum body size of a response that is not streamed, in bytes.
 */
 export const maximumAnswerBytes = 33_554_432;
 
 /**
-Reads a whole body within its bound.
+Reads a whole body; fails if it exceeds `maximumAnswerBytes`.
 */
 export const collectBody = async (
 	body: AsyncIterable<Buffer>,
@@ -20,7 +20,7 @@
 	for await (const chunk of body) {
 		length += chunk.length;
 		if (length > maximumAnswerBytes) {
-			throw new Error(`the answer is longer than ${maximumAnswerBytes} bytes`);
+			throw new Error(`the response body exceeds ${maximumAnswerBytes} bytes`);
 		}
 
 		chunks.push(chunk);
@@ -30,7 +30,7 @@
 };
 
 /**
-The tokens that an engine states in a whole answer.
+Returns the completion tokens that an engine reports in a complete response, or 0.
 */
 export const tokensOf = (request: GatewayRequest, body: Buffer): number => {
 	if (request.service.kind !== 'model') {
@@ -44,7 +44,7 @@
 };
 
 /**
-Who served an attempt.
+Describes the target that served an attempt.
 */
 export const servedBy = (
 	{target}: OpenAttempt,
@@ -77,7 +77,7 @@
 };
 
 /**
-The headers that a caller gets with an answer.
+Builds the response headers for the caller.
 */
 export const answerHeaders = (
 	request: GatewayRequest,
@@ -102,13 +102,13 @@
 	};
 };
 
-const firstServerFault = 500;
+const firstServerErrorStatus = 500;
 
 /**
-Whether an engine answered that it failed; a plain service's answer is its own affair.
+Whether an engine answered with a server error. Responses of plain services are passed on as they are.
 */
 export const isServerError = (
 	request: GatewayRequest,
 	upstream: UpstreamAnswer,
 ): boolean =>
-	upstream.status >= firstServerFault && request.service.kind === 'model';
+	upstream.status >= firstServerErrorStatus && request.service.kind === 'model';
--- a/src/requests/attempt-calls.ts
+++ b/src/requests/attempt-calls.ts
@@ -4,7 +4,7 @@
 import type {GatewayRequest} from './gateway-request.ts';
 
 /**
-An attempt as a call to a backend server.
+Builds the call to a backend server for an attempt.
 */
 export const backendCall = (
 	{request, attemptId, resumeFrom}: AttemptPlan,
@@ -28,7 +28,7 @@
 });
 
 /**
-What a call to another node states besides the request.
+Fields of a forwarded call that describe the attempt rather than the request.
 */
 export type ForwardDetails = Pick<
 	ForwardCall,
@@ -36,7 +36,7 @@
 >;
 
 /**
-A request as a call to another node.
+Builds the call that forwards a request to another node.
 */
 export const forwardCall = (
 	request: GatewayRequest,
--- a/src/requests/attempt-outcomes.ts
+++ b/src/requests/attempt-outcomes.ts
@@ -13,13 +13,14 @@
 };
 
 /**
-The graver of two outcomes: what may have happened over both attempts.
+Returns the worse of two outcomes; `ran` is worse than `unknown`, which is worse than `not-run`.
 */
 export const worstOutcome = (left: Outcome, right: Outcome): Outcome =>
 	outcomeRank[right] > outcomeRank[left] ? right : left;
 
 /**
-An error that claims no less than what the attempts before it may have done.
+Raises the outcome of an error to that of the earlier attempts, so that the error never claims
+`not-run` after an attempt that may have run.
 */
 export const withOutcome = (
 	error: GatewayError,
@@ -30,19 +31,19 @@
 });
 
 /**
-Every slot is taken.
+Error for a request that finds no free slot.
 */
 export const overloadedError = (retryAfterSeconds: number): GatewayError =>
 	createGatewayError(
 		'overloaded',
-		'Every slot that could serve the request is taken; come back later',
+		'All slots that can serve the request are in use; retry later',
 		{
 			retryAfterSeconds,
 		},
 	);
 
 /**
-The answer to an attempt did not arrive whole, or was not its own.
+Failure of an attempt whose response was incomplete or belonged to another attempt.
 */
 export const brokenAnswerFailure = (error: Error): AttemptFailure => ({
 	outcome: 'unknown',
@@ -54,7 +55,7 @@
 });
 
 /**
-The backend server answered that it failed.
+Failure of an attempt that the backend server answered with a server error.
 */
 export const serverErrorFailure = (status: number): AttemptFailure => ({
 	outcome: 'unknown',
@@ -66,7 +67,7 @@
 });
 
 /**
-How a failure is entered in the fleet's books.
+Maps a failure to the attempt end that the fleet records.
 */
 export const attemptEndOf = (
 	failure: AttemptFailure,
--- a/src/requests/attempt.ts
+++ b/src/requests/attempt.ts
@@ -5,7 +5,7 @@
 import type {GatewayRequest} from './gateway-request.ts';
 
 /**
-A target that an attempt can be made at.
+A backend server or node that an attempt can be sent to.
 */
 export type AttemptTarget = Extract<
 	TargetChoice,
@@ -13,7 +13,7 @@
 >;
 
 /**
-An attempt whose answer has begun.
+An attempt whose response head has arrived.
 */
 export type OpenAttempt = {
 	readonly attemptId: string;
@@ -22,13 +22,13 @@
 	readonly startedAt: number;
 	readonly abort: AbortController;
 	/**
-	Ends the attempt in the books; only the first call counts.
+	Records the end of the attempt; calls after the first have no effect.
 	*/
 	readonly finish: (end: AttemptEnd) => void;
 };
 
 /**
-What one attempt is to do.
+Parameters of one attempt.
 */
 export type AttemptPlan = {
 	readonly request: GatewayRequest;
@@ -39,12 +39,12 @@
 };
 
 /**
-What one request has been through; shared by its attempts.
+State of one request that its attempts share.
 */
 export type Progress = {
 	attempts: number;
 	/**
-	The gravest thing that any attempt so far may have led to.
+	Worst outcome of all attempts so far.
 	*/
 	outcome: Outcome;
 	readonly excluded: Set<string>;
@@ -52,7 +52,7 @@
 };
 
 /**
-The id of the server or node that an attempt goes to.
+Returns the id of the server or node that an attempt is sent to.
 */
 export const targetId = (target: AttemptTarget): string =>
 	target.kind === 'peer' ? target.member.id : target.server.id;
--- a/src/requests/attempts.ts
+++ b/src/requests/attempts.ts
@@ -37,7 +37,7 @@
 } from './request-quarantine.ts';
 
 /**
-What attempts are made with.
+Options of `createAttempts`.
 */
 export type AttemptOptions = {
 	readonly clock: () => number;
@@ -53,22 +53,22 @@
 	readonly issueAttemptId: () => string;
 
 	/**
-	Resolves at once, or after a pause of the process once the node is up to date again.
+	Resolves when the node's state is current; waits only after a pause of the process.
 	*/
 	readonly waitUntilUpToDate: () => Promise<void>;
 	/**
-	Whether the node knows what happened up to now; false after a pause until it has caught up.
+	Whether the node's state is current; false after a pause of the process until the node has caught up.
 	*/
 	readonly isUpToDate: () => boolean;
 	readonly logger: Logger;
 };
 
 /**
-Makes attempts and judges their failures.
+Makes attempts and decides after a failure whether to retry.
 */
 export type Attempts = {
 	/**
-	Makes attempts until one has begun to answer, or there is no point in another.
+	Makes attempts until one receives a response head or no further attempt is allowed.
 	*/
 	open(
 		request: GatewayRequest,
@@ -76,7 +76,7 @@
 		resumeFrom: number,
 	): Promise<Result<OpenAttempt, GatewayError>>;
 	/**
-	Chooses a target, waiting a short while for a free slot.
+	Chooses a target; waits in the capacity queue if no slot is free.
 	*/
 	acquire(
 		request: GatewayRequest,
@@ -87,7 +87,7 @@
 	*/
 	begin(plan: AttemptPlan): Promise<Result<OpenAttempt, AttemptFailure>>;
 	/**
-	Enters a failure; an error means that the request is given up.
+	Records a failure and decides on a retry; returns an error if the request is given up.
 	*/
 	handleFailure(
 		request: GatewayRequest,
@@ -96,30 +96,29 @@
 		hasDelivered: boolean,
 	): Result<true, GatewayError>;
 	/**
-	Tells the fleet how long the first token took.
+	Records the time to the first token in the fleet.
 	*/
 	observeFirstToken(attempt: OpenAttempt): void;
 };
 
 /**
-The most attempts for one request.
+Maximum attempts for one request, the first one included.
 */
 export const maximumAttempts = 4;
 
 /**
-A stream without an event for this many milliseconds counts as broken.
+Milliseconds without an event after which a stream counts as broken.
 */
 export const stallTimeoutMs = 5000;
 
 const smallestAttemptMs = 500;
 
 /**
-Builds what makes attempts.
+Creates the attempt runner.
 */
 export const createAttempts = (options: AttemptOptions): Attempts => {
 	const {clock, fleet} = options;
 
-	// Opens attempts until one has begun to answer.
 	const open = async (
 		request: GatewayRequest,
 		progress: Progress,
@@ -166,11 +165,11 @@
 		progress: Progress,
 	): Promise<Result<AttemptTarget, GatewayError>> => {
 		for (;;) {
-			// Nothing leaves on what was known before a pause, not even a later attempt.
+			// After a pause of the process the state may be stale, so no attempt is sent before it is refreshed.
 			await options.waitUntilUpToDate();
 			if (request.signal.aborted) {
 				return Result.err(
-					createGatewayError('canceled', 'The caller has gone'),
+					createGatewayError('canceled', 'The caller closed the connection'),
 				);
 			}
 
@@ -179,18 +178,18 @@
 				return Result.err(
 					createGatewayError(
 						'deadline-exceeded',
-						'The deadline passed before an attempt',
+						'The deadline passed before an attempt was made',
 						{outcome: 'not-run'},
 					),
 				);
 			}
 
-			const standing = options.quarantine.statusOf(request);
-			if (standing.kind === 'quarantined') {
-				return Result.err(quarantinedError(standing.until - now));
+			const status = options.quarantine.statusOf(request);
+			if (status.kind === 'quarantined') {
+				return Result.err(quarantinedError(status.until - now));
 			}
 
-			if (standing.kind === 'pending') {
+			if (status.kind === 'pending') {
 				await sleep(crashReportWindowMs / 2);
 				continue;
 			}
@@ -213,13 +212,13 @@
 						);
 					}
 
-					// A receiver does not queue: the origin may know of a better place. Nor is there anything to wait for
-					// where all servers are limited and this node is not among those that send to them.
-					const isHopeless = progress.isForwarded || choice.perSecond === 0;
-					const wait = isHopeless
+					// A receiving node does not queue, because the origin may know another target. Waiting is also
+					// pointless if all servers have rate limits and this node's share of them is 0.
+					const isNotQueued = progress.isForwarded || choice.perSecond === 0;
+					const result = isNotQueued
 						? 'full'
 						: await options.capacity.wait(request);
-					if (wait !== 'ready') {
+					if (result !== 'ready') {
 						return Result.err(
 							overloadedError(options.capacity.retryAfterSeconds()),
 						);
@@ -235,23 +234,23 @@
 		const {request, progress, target, attemptId} = plan;
 		const startedAt = clock();
 		const abort = new AbortController();
-		const onGone = () => {
-			abort.abort(new Error('caller gone'));
+		const cancel = () => {
+			abort.abort(new Error('canceled by the caller or by the time-out'));
 		};
 
-		request.signal.addEventListener('abort', onGone, {once: true});
+		request.signal.addEventListener('abort', cancel, {once: true});
 		const timer = setTimeout(
-			onGone,
+			cancel,
 			attemptTimeout(request, progress, startedAt),
 		);
 		const id = target.kind === 'backend-server' ? target.server.id : undefined;
-		const place =
+		const incarnation =
 			target.kind === 'backend-server'
 				? options.quarantine.incarnationOf(target.server, startedAt)
 				: undefined;
 		const finish = createFinish(id, (end) => {
-			request.signal.removeEventListener('abort', onGone);
-			options.quarantine.recordEnd(request, place, end);
+			request.signal.removeEventListener('abort', cancel);
+			options.quarantine.recordEnd(request, incarnation, end);
 		});
 		if (id !== undefined) {
 			fleet.handle({kind: 'attempt-started', backendServer: id}, startedAt);
@@ -291,7 +290,7 @@
 		const remaining = Math.max(1, request.deadline - now);
 		const isLast =
 			!request.isRepeatable || progress.attempts >= maximumAttempts;
-		// Half of the time left goes to each attempt, so that a silent target leaves time for another.
+		// An attempt gets half of the remaining time, so that a target that does not answer leaves time for another.
 		return isLast ? remaining : Math.max(smallestAttemptMs, remaining / 2);
 	};
 
@@ -316,7 +315,7 @@
 		};
 	};
 
-	// Each second try and resumption comes through here as well, so all count against a limit.
+	// Retries and resumptions also take this path, so all of them count against the server's rate limit.
 	const sendCounted = async (
 		plan: AttemptPlan,
 		signal: AbortSignal,
@@ -391,7 +390,7 @@
 		progress.outcome = worstOutcome(progress.outcome, failure.outcome);
 		if (request.signal.aborted) {
 			return Result.err(
-				createGatewayError('canceled', 'The caller has gone', {
+				createGatewayError('canceled', 'The caller closed the connection', {
 					outcome: progress.outcome,
 				}),
 			);
@@ -403,7 +402,7 @@
 			hasDelivered,
 			isResumable: request.isStreaming && request.isRepeatable,
 			attempts: progress.attempts,
-			// The origin retries; a receiver makes one attempt and reports what it proved.
+			// Only the origin retries; a receiving node makes one attempt and reports its outcome.
 			maximumAttempts: progress.isForwarded ? 1 : maximumAttempts,
 			remainingMs: hasDelivered ? stallTimeoutMs : request.deadline - clock(),
 			hasBudget: options.budget.hasRetry(),
--- a/src/requests/capacity-queue.ts
+++ b/src/requests/capacity-queue.ts
@@ -2,32 +2,32 @@
 import type {GatewayRequest} from './gateway-request.ts';
 
 /**
-How a wait for a free slot ended.
+Result of waiting for a free slot.
 */
 export type QueueResult = 'ready' | 'expired' | 'full';
 
 /**
-Lets requests wait a short while for a free slot.
+Bounded queue of requests that wait for a free slot.
 */
 export type CapacityQueue = {
 	wait(request: GatewayRequest): Promise<QueueResult>;
 	/**
-	Says that a slot may have become free.
+	Wakes the first waiting request, because a slot may have become free.
 	*/
 	notify(): void;
 	/**
-	Answers those who have waited long enough.
+	Ends the wait of all requests whose deadline has passed.
 	*/
 	expire(now: number): void;
 	/**
-	When a request that is turned away should come back.
+	Seconds after which a rejected request should retry.
 	*/
 	retryAfterSeconds(): number;
 	length(): number;
 };
 
 /**
-What a wait is built from.
+Options of `createCapacityQueue`.
 */
 export type CapacityQueueOptions = {
 	readonly clock: () => number;
@@ -35,22 +35,22 @@
 	readonly maximumWaitMs: number;
 };
 
-type Ticket = {readonly settle: (end: QueueResult) => void};
+type Waiter = {readonly settle: (end: QueueResult) => void};
 
 /**
-Builds an empty line of waiting requests.
+Creates an empty queue.
 */
 export const createCapacityQueue = (
 	options: CapacityQueueOptions,
 ): CapacityQueue => {
-	const line = createWaitQueue<Ticket>(options.maximumWaiting);
+	const queue = createWaitQueue<Waiter>(options.maximumWaiting);
 
 	return {
 		async wait(request) {
 			return new Promise((resolve) => {
-				const ticket: Ticket = {settle: resolve};
-				const verdict = line.enqueue({
-					item: ticket,
+				const waiter: Waiter = {settle: resolve};
+				const result = queue.enqueue({
+					item: waiter,
 					priority: request.priority,
 					deadline: Math.min(
 						request.deadline,
@@ -58,16 +58,16 @@
 					),
 					clientName: request.client.name,
 				});
-				if (verdict.kind === 'full') {
+				if (result.kind === 'full') {
 					resolve('full');
-				} else if (verdict.kind === 'displaced') {
-					verdict.waiter.item.settle('full');
+				} else if (result.kind === 'displaced') {
+					result.waiter.item.settle('full');
 				}
 
 				request.signal.addEventListener(
 					'abort',
 					() => {
-						line.remove(ticket);
+						queue.remove(waiter);
 						resolve('expired');
 					},
 					{once: true},
@@ -75,16 +75,16 @@
 			});
 		},
 		notify() {
-			line.takeFirst(() => true)?.item.settle('ready');
+			queue.takeFirst(() => true)?.item.settle('ready');
 		},
 		expire(now) {
-			for (const {item} of line.takeExpired(now)) {
+			for (const {item} of queue.takeExpired(now)) {
 				item.settle('expired');
 			}
 		},
-		// The fuller the line, the longer it takes until a newcomer would get through.
+		// The wait of a new request grows with the length of the queue: 1 s if empty, 3 s if full.
 		retryAfterSeconds: () =>
-			1 + Math.ceil((line.length() / Math.max(1, options.maximumWaiting)) * 2),
-		length: () => line.length(),
+			1 + Math.ceil((queue.length() / Math.max(1, options.maximumWaiting)) * 2),
+		length: () => queue.length(),
 	};
 };
--- a/src/requests/choose-target.ts
+++ b/src/requests/choose-target.ts
@@ -26,17 +26,17 @@
 	TriedTargets,
 } from './target-choice.ts';
 
-// How much one more request moves the share that was sent away.
-const smoothing = 0.01;
+// Weight of one request in the moving average of the share that leaves its home region.
+const awayShareSmoothing = 0.01;
 
 /**
-Builds a chooser.
+Creates a target chooser.
 */
 export const createTargetChooser = (options: ChooserOptions): TargetChooser => {
 	const {fleet, limits, random} = options;
-	const judgeZone = createZoneEvaluator(options);
+	const evaluateZone = createZoneEvaluator(options);
 	let eligibility:
-		| {readonly configuration: Configuration; readonly look: Eligibility}
+		| {readonly configuration: Configuration; readonly lookUp: Eligibility}
 		| undefined;
 	let turn = 0;
 	let awayShare = 0;
@@ -47,10 +47,10 @@
 		configuration: Configuration,
 	): readonly EligibleZone[] => {
 		if (eligibility?.configuration !== configuration) {
-			eligibility = {configuration, look: createEligibility(configuration)};
+			eligibility = {configuration, lookUp: createEligibility(configuration)};
 		}
 
-		return eligibility.look(request.policy, request.service.name);
+		return eligibility.lookUp(request.policy, request.service.name);
 	};
 
 	const isReachable = (zone: EligibleZone, tried: TriedTargets): boolean => {
@@ -109,23 +109,23 @@
 				};
 	};
 
-	// The shortest rest of a server here that the request may still go to.
-	const restLeftIn = (
+	// Shortest remaining backoff among the local servers that the request has not tried.
+	const shortestBackoffMs = (
 		zones: readonly EligibleZone[],
 		{excluded}: TriedTargets,
 		now: number,
 	): number | undefined => {
-		const own = zones.find(
+		const localZone = zones.find(
 			({availabilityZone}) => availabilityZone === options.availabilityZone,
 		);
-		const rests = (own?.backendServers ?? [])
+		const backoffs = (localZone?.backendServers ?? [])
 			.filter(({id}) => !excluded.has(id))
 			.map(({id}) => fleet.backoffRemainingMs(id, now))
-			.filter((leftMs) => leftMs > 0);
-		return rests.length === 0 ? undefined : Math.min(...rests);
+			.filter((remainingMs) => remainingMs > 0);
+		return backoffs.length === 0 ? undefined : Math.min(...backoffs);
 	};
 
-	// Where one without a limit is merely full, its room comes back with the next end.
+	// If a server without a rate limit is full, it has capacity again when its next request ends, so no rate is given.
 	const ratesOf = (
 		servers: readonly BackendServer[],
 		now: number,
@@ -160,7 +160,7 @@
 	};
 
 	const countAway = (isAway: boolean) => {
-		awayShare += smoothing * ((isAway ? 1 : 0) - awayShare);
+		awayShare += awayShareSmoothing * ((isAway ? 1 : 0) - awayShare);
 	};
 
 	return {
@@ -197,12 +197,12 @@
 				(zone) => regions.has(zone.region) && isReachable(zone, tried),
 			);
 			const zones = reachable
-				.map((zone) => judgeZone(zone, request, configuration, now))
+				.map((zone) => evaluateZone(zone, request, configuration, now))
 				.filter(({slots}) => slots > 0);
 			const chosen = pickZone(request, zones);
 			const backoffRemainingMs = chosen
 				? undefined
-				: restLeftIn(reachable, tried, now);
+				: shortestBackoffMs(reachable, tried, now);
 			if (backoffRemainingMs !== undefined) {
 				return {kind: 'busy', backoffRemainingMs};
 			}
@@ -212,12 +212,12 @@
 			}
 
 			countAway(!chosen.isHome);
-			const permission = regions.get(chosen.region)!;
+			const clearedRegion = regions.get(chosen.region)!;
 			if (chosen.isLocal) {
 				const zone = reachable.find(
 					({availabilityZone}) => availabilityZone === chosen.availabilityZone,
 				)!;
-				// The same list each time keeps the sums over it in use.
+				// The fleet caches the capacity by the identity of this list, so the list is not copied without need.
 				const backendServers =
 					tried.excluded.size === 0
 						? zone.backendServers
@@ -225,7 +225,7 @@
 				return chooseInZone(
 					request,
 					{...zone, backendServers},
-					permission,
+					clearedRegion,
 					now,
 				);
 			}
@@ -235,14 +235,14 @@
 				kind: 'peer',
 				member: members[random.below(members.length)]!,
 				zone: chosen,
-				cleared: permission,
+				cleared: clearedRegion,
 			};
 		},
 		awayShare: () => awayShare,
 	};
 };
 
-// A region is left out where the request may not be served; a claim that cannot be read ends it.
+// Leaves out regions in which the request may not be served; an invalid residency claim ends the request.
 const clearRegions = (
 	request: GatewayRequest,
 	eligible: readonly EligibleZone[],
--- a/src/requests/evaluate-zone.ts
+++ b/src/requests/evaluate-zone.ts
@@ -6,11 +6,11 @@
 
 const sameRegionDelayMs = 2;
 
-// Trust in a summary falls to a third in this many milliseconds.
-const summaryDecay = 10_000;
+// The weight of a summary falls to 1/e (about a third) after this time.
+const summaryDecayMs = 10_000;
 
 /**
-Says what a zone would cost a request.
+Estimates latency and cost of serving a request in a zone.
 */
 export type ZoneEvaluator = (
 	zone: EligibleZone,
@@ -20,7 +20,7 @@
 ) => ZoneCandidate;
 
 /**
-Builds a judge that goes by this node's own figures, and by what was heard of other zones.
+Creates an evaluator. It uses this node's own estimates for the local zone and the received summaries for other zones.
 */
 export const createZoneEvaluator =
 	(
@@ -29,27 +29,27 @@
 	(zone, request, configuration, now) => {
 		const isLocal = zone.availabilityZone === options.availabilityZone;
 		const isHome = zone.region === request.homeRegion;
-		const heard = isLocal
+		const summary = isLocal
 			? undefined
 			: options.summaryOf(zone.availabilityZone, request.service.name, now);
-		const figures = isLocal
+		const estimate = isLocal
 			? options.fleet.capacity(zone.backendServers, now)
-			: (heard ?? priorOf(zone, configuration));
+			: (summary ?? priorOf(zone, configuration));
 		const trust = isLocal
 			? 1
-			: Math.exp(-(heard?.ageMs ?? Infinity) / summaryDecay);
+			: Math.exp(-(summary?.ageMs ?? Infinity) / summaryDecayMs);
 		return {
 			availabilityZone: zone.availabilityZone,
 			region: zone.region,
 			isLocal,
 			isHome,
-			load: figures.load,
-			slots: figures.slots,
+			load: estimate.load,
+			slots: estimate.slots,
 			expectedFirstTokenMs:
-				figures.firstTokenMs * queueFactor(figures) +
+				estimate.firstTokenMs * queueFactor(estimate) +
 				delayTo(options, zone, request, configuration) +
 				coldPenalty(isHome, configuration),
-			costPerThousandTokens: figures.costPerThousandTokens,
+			costPerThousandTokens: estimate.costPerThousandTokens,
 			trust,
 		};
 	};
@@ -69,7 +69,7 @@
 		: 2 * configuration.timing.betweenRegionsMs;
 };
 
-// Beyond this share of slots in use, waiting begins to show.
+// Utilization above which queueing adds to the time to the first token.
 const queueingFrom = 0.7;
 const queueingSlope = 3;
 
@@ -82,12 +82,12 @@
 }): number =>
 	1 + queueingSlope * Math.max(0, load / Math.max(1, slots) - queueingFrom);
 
-// Caches are regional: away, the whole prompt has to be worked through once more.
+// Prompt caches are regional: in another region the whole prompt must be processed again.
 const coldPenalty = (isHome: boolean, configuration: Configuration): number =>
 	isHome ? 0 : configuration.timing.firstTokenMs;
 
-// A zone that has not been heard of is taken to be of its configured size and idle; its
-// distance still counts against it.
+// Without a summary, a zone is assumed to have its configured slots and no load; the delay to reach
+// it is still added.
 const priorOf = (
 	zone: EligibleZone,
 	configuration: Configuration,
--- a/src/requests/event-stream.ts
+++ b/src/requests/event-stream.ts
@@ -2,7 +2,7 @@
 import {StringDecoder} from 'node:string_decoder';
 
 /**
-What a piece of an engine's event stream amounts to.
+Result of parsing a chunk of an engine's event stream.
 */
 export type StreamPiece =
 	| {
@@ -14,29 +14,29 @@
 	| {readonly kind: 'fault'; readonly message: string};
 
 /**
- Checks an engine's event stream for one attempt.
+ Parses and checks an engine's event stream for one attempt.
  
- Each event carries `ATTEMPT:INDEX` as its id. Events of another attempt, and gaps in
- the index, are faults; events that the caller has already are dropped. The ids are
- taken out again, for they mean nothing to the caller.
+ Each event carries `ATTEMPT:INDEX` as its id. Events of another attempt and gaps in
+ the index are faults; events that the caller already has are dropped. The ids are
+ removed, because they mean nothing to the caller.
  */
 export type EventStreamReader = {
 	/**
-	Takes in the next bytes.
+	Parses the next bytes.
 	*/
 	push(chunk: Buffer): StreamPiece;
 	/**
-	Tokens passed on so far, those of earlier attempts included.
+	Tokens delivered so far, including those of earlier attempts.
 	*/
 	delivered(): number;
 	/**
-	Whether the end mark has been seen.
+	Whether the event that ends the stream has been read.
 	*/
 	hasEnded(): boolean;
 };
 
 /**
-The data of the event that ends a stream.
+Data of the event that ends a stream.
 */
 export const endMark = '[DONE]';
 
@@ -45,12 +45,12 @@
 */
 export const endIndex = 'end';
 
-const maximumPending = 1_048_576;
+const maximumPendingLength = 1_048_576;
 const idField = 'id: ';
 const dataField = 'data: ';
 
 /**
-Builds a reader for an attempt that goes on after `delivered` tokens.
+Creates a reader for an attempt that resumes after `alreadyDelivered` tokens.
 */
 export const createEventStreamReader = (
 	attemptId: string,
@@ -62,7 +62,7 @@
 	let delivered = alreadyDelivered;
 	let hasEnded = false;
 
-	const isOver = () => hasEnded;
+	const isDone = () => hasEnded;
 
 	const readEvent = (event: string): StreamPiece => {
 		if (!event.startsWith(prefix)) {
@@ -105,12 +105,12 @@
 			let start = 0;
 			for (
 				let end = pending.indexOf('\n\n');
-				!isOver() && end >= 0;
+				!isDone() && end >= 0;
 				end = pending.indexOf('\n\n', start)
 			) {
 				const piece = readEvent(pending.slice(start, end));
 				if (piece.kind === 'fault') {
-					// What was read before the fault is sound, and counted as delivered.
+					// The events before the fault are valid and already counted as delivered, so they are returned first.
 					return text === '' ? piece : rememberFault(text, tokens);
 				}
 
@@ -120,15 +120,15 @@
 			}
 
 			pending = pending.slice(start);
-			return pending.length > maximumPending
+			return pending.length > maximumPendingLength
 				? {kind: 'fault', message: 'an event is too long'}
 				: {kind: 'events', text, tokens, isEnd: hasEnded};
 		},
 		delivered: () => delivered,
-		hasEnded: isOver,
+		hasEnded: isDone,
 	};
 
-	// The faulty event stays in `pending`, so that the next call meets it again at once.
+	// Leaves an invalid event in `pending`, so that the next call reports the fault.
 	function rememberFault(text: string, tokens: number): StreamPiece {
 		pending = `${idField}\n\n`;
 		return {kind: 'events', text, tokens, isEnd: false};
--- a/src/requests/filter-chain.ts
+++ b/src/requests/filter-chain.ts
@@ -6,10 +6,10 @@
 export type Next<Output> = (output: Output) => Promise<Answer>;
 
 /**
- One step of a request's way.
+ One step in the processing of a request.
  
- A filter passes on what it learned, or answers by itself; what it does after `next`
- returns sees the answer on its way back.
+ A filter either calls `next` with its result or answers the request itself. Code after
+ `next` sees the answer that the later filters return.
  */
 export type Filter<Input, Output> = (
 	input: Input,
@@ -17,7 +17,7 @@
 ) => Promise<Answer>;
 
 /**
-Puts one filter behind another.
+Composes two filters; the output of the first is the input of the second.
 */
 export const chain =
 	<Input, Middle, Output>(
--- a/src/requests/filters/identify.ts
+++ b/src/requests/filters/identify.ts
@@ -5,7 +5,7 @@
 import type {IncomingRequest} from '../incoming-request.ts';
 
 /**
-A request with the configuration it is judged by.
+A request with the configuration that applies to it.
 */
 export type ReadyRequest = {
 	readonly incoming: IncomingRequest;
@@ -18,7 +18,7 @@
 export type IdentifiedRequest = ReadyRequest & {readonly client: Client};
 
 /**
-Finds the client account, or answers `unauthenticated`.
+Identifies the client account, or answers `unauthenticated`.
 */
 export const identifyFilter: Filter<ReadyRequest, IdentifiedRequest> = async (
 	ready,
--- a/src/requests/filters/limit.ts
+++ b/src/requests/filters/limit.ts
@@ -5,7 +5,7 @@
 import type {GatewayRequest} from '../gateway-request.ts';
 
 /**
-Holds a client to its limit; a request beyond it is answered at once.
+Applies the rate limit of the client; a request above it is rejected at once.
 */
 export const createLimitFilter =
 	(
@@ -20,7 +20,7 @@
 			}
 
 			case 'limited': {
-				const message = `Client "${request.client.name}" is over its limit of ${request.client.requestsPerSecond} requests a second`;
+				const message = `Client "${request.client.name}" is over its limit of ${request.client.requestsPerSecond} requests per second`;
 				return refuse(
 					createGatewayError('limit-exceeded', message, {
 						retryAfterSeconds: verdict.retryAfterSeconds,
--- a/src/requests/filters/parse.ts
+++ b/src/requests/filters/parse.ts
@@ -5,14 +5,14 @@
 import type {IdentifiedRequest} from './identify.ts';
 
 /**
-A request that was read, with its configuration.
+A parsed request with the configuration that applies to it.
 */
 export type RequestWithConfiguration = IdentifiedRequest & {
 	readonly request: ParsedRequest;
 };
 
 /**
-What the filter is built from.
+Options of `createParseFilter`.
 */
 export type ParseFilterOptions = {
 	readonly clock: () => number;
@@ -21,7 +21,7 @@
 };
 
 /**
-Reads and checks what the request states.
+Creates the filter that parses and validates a request.
 */
 export const createParseFilter =
 	(
--- a/src/requests/filters/permit.ts
+++ b/src/requests/filters/permit.ts
@@ -10,26 +10,26 @@
 import type {PermitIssuer, Permits} from '../permits.ts';
 
 /**
-What the filter is built from.
+Options of `createPermitFilter`.
 */
 export type PermitFilterOptions = {
 	readonly permits: Permits<ReplayableAnswer>;
 	readonly clock: () => number;
 	/**
-	Asks the node that issued an id; left out where the request itself came from a node.
+	Forwards the request to the node that issued its id. Undefined for requests that another node forwarded, because they are forwarded at most once.
 	*/
 	readonly askIssuer?: (
 		request: GatewayRequest,
-		holder: PermitIssuer,
+		issuer: PermitIssuer,
 	) => Promise<Answer>;
 	/**
-	Counts requests that go on after their caller has gone.
+	Counts requests that run until their end even if the caller disconnects.
 	*/
 	readonly track: (isBeginning: boolean) => void;
 };
 
 /**
-Lets a request that is not repeatable run at most once.
+Creates the filter that lets a request that is not repeatable run at most once.
 */
 export const createPermitFilter =
 	(options: PermitFilterOptions): Filter<GatewayRequest, GatewayRequest> =>
@@ -58,7 +58,7 @@
 					: refuse(
 							createGatewayError(
 								'answer-not-kept',
-								'The request ran; its answer is no longer kept',
+								'The request ran; its response is no longer stored',
 							),
 						);
 			}
@@ -74,11 +74,11 @@
 
 			case 'elsewhere': {
 				return options.askIssuer
-					? options.askIssuer(request, redemption.holder)
+					? options.askIssuer(request, redemption.issuer)
 					: refuse(
 							createGatewayError(
 								'hop-refused',
-								'The request was passed to a node that did not issue its id',
+								'The request was forwarded to a node that did not issue its id',
 							),
 						);
 			}
@@ -124,5 +124,5 @@
 const notIssued = (): GatewayError =>
 	createGatewayError(
 		'bad-request',
-		'A request that is not repeatable needs an id of this system; take one from GET /v1/entry-vms or send none',
+		'A request that is not repeatable needs an id issued by this gateway; get one from GET /v1/entry-vms or send none',
 	);
--- a/src/requests/filters/policy.ts
+++ b/src/requests/filters/policy.ts
@@ -7,7 +7,7 @@
 import type {RequestWithConfiguration} from './parse.ts';
 
 /**
-Finds the policy that applies.
+Matches the policy that applies to a request.
 */
 export const createPolicyFilter = (
 	wallClock: () => number,
--- a/src/requests/filters/recording.ts
+++ b/src/requests/filters/recording.ts
@@ -5,7 +5,7 @@
 import type {Filter} from '../filter-chain.ts';
 
 /**
-What the filter is built from.
+Options of `createRecordingFilter`.
 */
 export type RecordingOptions = {
 	readonly clock: () => number;
@@ -16,7 +16,7 @@
 };
 
 /**
-Records cost, latency and place of each answer once it has ended.
+Records cost, latency and region of each answer when it has ended.
 */
 export const createRecordingFilter = (
 	options: RecordingOptions,
@@ -160,7 +160,7 @@
 }
 
 /**
-Wraps an answer so that its end, also of its stream, is told once.
+Wraps an answer so that `onEnd` is called once, when the answer or its stream has ended.
 */
 export const onAnswerEnd = (
 	answer: Answer,
--- a/src/requests/gateway-request.ts
+++ b/src/requests/gateway-request.ts
@@ -4,7 +4,7 @@
 import type {ResidencyClaim} from '../routing/index.ts';
 
 /**
-A request that was read and checked; a policy is still to be matched.
+A parsed and validated request, before policy matching.
 */
 export type ParsedRequest = {
 	readonly requestId: string;
@@ -16,17 +16,17 @@
 	readonly claim: ResidencyClaim;
 	readonly homeRegion: string;
 	/**
-	From 0 to 9; higher goes first.
+	Priority from 0 to 9; higher values are served first.
 	*/
 	readonly priority: number;
 	/**
-	By the clock of this node, in milliseconds: when the answer must have begun.
+	Time by which the response must have started, in milliseconds of this node's clock.
 	*/
 	readonly deadline: number;
 	readonly isRepeatable: boolean;
 	readonly session: string;
 	/**
-	Groups requests that share a prompt prefix.
+	Hash of the prompt prefix; requests with the same prefix have the same key.
 	*/
 	readonly prefixKey: string;
 	readonly method: string;
--- a/src/requests/identify-client.ts
+++ b/src/requests/identify-client.ts
@@ -32,7 +32,7 @@
 			);
 };
 
-// Every account is compared, so that the time taken does not tell which one came near.
+// Compares the key with every account, so that the response time does not reveal which account matches.
 const findByKey = (
 	clients: readonly Client[],
 	key: string,
--- a/src/requests/in-flight.ts
+++ b/src/requests/in-flight.ts
@@ -1,18 +1,18 @@
 /**
-Counts requests that have begun and not yet ended.
+Counts requests in flight.
 */
 export type InFlight = {
 	begin(): void;
 	end(): void;
 	count(): number;
 	/**
-	Resolves when none is left, or false once the time is up.
+	Resolves to true when no request is in flight, or to false after the time-out.
 	*/
 	waitUntilIdle(timeoutMs: number): Promise<boolean>;
 };
 
 /**
-Builds a count of zero.
+Creates a counter that starts at zero.
 */
 export const createInFlight = (): InFlight => {
 	let count = 0;
@@ -27,9 +27,9 @@
 				return;
 			}
 
-			const resolved = waiting;
+			const resumers = waiting;
 			waiting = [];
-			for (const resume of resolved) {
+			for (const resume of resumers) {
 				resume();
 			}
 		},
--- a/src/requests/incoming-request.ts
+++ b/src/requests/incoming-request.ts
@@ -1,6 +1,6 @@
 import type {Buffer} from 'node:buffer';
 /**
-A request as it came in over HTTP.
+An HTTP request as received from a caller.
 */
 export type IncomingRequest = {
 	readonly method: string;
@@ -11,13 +11,13 @@
 	readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 	readonly body: Buffer;
 	/**
-	Aborts when the caller has gone.
+	Aborts when the caller closes the connection.
 	*/
 	readonly signal: AbortSignal;
 };
 
 /**
-One header's value; where it was sent more than once, the values are joined by commas.
+Returns the value of a header; the values of a repeated header are joined by commas.
 */
 export const headerOf = (
 	request: IncomingRequest,
@@ -28,7 +28,7 @@
 };
 
 /**
-The path without its query.
+Returns the path without the query.
 */
 export const pathOf = ({url}: IncomingRequest): string => url.split('?', 1)[0]!;
 
--- a/src/requests/no-candidate-error.ts
+++ b/src/requests/no-candidate-error.ts
@@ -2,7 +2,7 @@
 import type {GatewayRequest} from './gateway-request.ts';
 
 /**
-No backend server can take a request, for a reason.
+Error for a request that no backend server can take.
 */
 export const noCandidateError = (reason: string): GatewayError =>
 	createGatewayError(
@@ -11,7 +11,7 @@
 	);
 
 /**
-Why no zone is left for a request, by how many regions it is allowed in.
+Error for a request that no zone can serve; the message depends on the residency and on the number of allowed regions.
 */
 export const noZoneError = (
 	request: GatewayRequest,
--- a/src/requests/parse-forwarded-request.ts
+++ b/src/requests/parse-forwarded-request.ts
@@ -7,7 +7,7 @@
 import type {GatewayRequest} from './gateway-request.ts';
 
 /**
-What a receiver checks a forwarded request against: its own state, not the sender's.
+State of the receiving node against which a forwarded request is checked.
 */
 export type ReceivingContext = {
 	readonly configuration: Configuration | undefined;
@@ -15,16 +15,16 @@
 	readonly now: number;
 	readonly signal: AbortSignal;
 	/**
-	Remembers an attempt; false if it was seen before.
+	Records an attempt id; returns false if it was received before.
 	*/
 	readonly isFirstDelivery: (attemptId: string) => boolean;
 };
 
 /**
- Rebuilds a forwarded request by the receiver's own configuration.
+ Rebuilds a forwarded request with the receiver's configuration.
  
- A forged or repeated forward, an account, policy or service that is not known here, and
- a residency that does not allow this region all refuse it before anything runs.
+ Rejects it before anything runs if the envelope is forged or repeated, if the account,
+ policy or service is unknown here, or if its residency does not allow this region.
  */
 export const parseForwardedRequest = (
 	envelope: ForwardEnvelope | undefined,
@@ -36,7 +36,7 @@
 		return Result.err(
 			createGatewayError(
 				'hop-refused',
-				'The forward is not sealed by a node of this system',
+				'The forwarded request is not sealed by a node of this deployment',
 			),
 		);
 	}
@@ -51,7 +51,7 @@
 	}
 
 	if (!context.isFirstDelivery(envelope.attemptId)) {
-		// The first delivery may have run, so this one must not claim that nothing did.
+		// The first delivery may have run, so the outcome of this one is not `not-run`.
 		return Result.err(
 			createGatewayError('hop-refused', 'The attempt was received before', {
 				outcome: 'unknown',
@@ -118,7 +118,9 @@
 };
 
 /**
-Remembers the attempts received lately, so that none is run twice.
+Remembers recently received attempt ids, so that no attempt runs twice.
+
+@param maximum Ids per generation; the latest generation and the one before it are kept.
 */
 export const createSeenAttempts = (maximum = 100_000) => {
 	let recent = new Set<string>();
--- a/src/requests/parse-request.ts
+++ b/src/requests/parse-request.ts
@@ -14,59 +14,59 @@
 } from './incoming-request.ts';
 
 /**
-What reading a request depends on.
+Context in which a request is parsed.
 */
 export type ParseContext = {
 	readonly configuration: Configuration;
 	readonly client: Client;
 	/**
-	Region of this node; home of a request that names none.
+	Region of this node; the home region of a request that names none.
 	*/
 	readonly localRegion: string;
 	readonly now: number;
 	/**
-	Issues an id for a request that came without one.
+	Issues an id for a request without one.
 	*/
 	readonly issueId: () => string;
 };
 
 /**
-Prompts of this many tokens and more get the label `prompt-length=long`.
+Prompts with at least this many tokens get the label `prompt-length=long`.
 */
 export const longPromptTokens = 4096;
 
 const charactersPerToken = 4;
-const prefixLength = 2048;
-const requestIdForm = /^[\w\-.:]{1,200}$/v;
+const prefixCharacters = 2048;
+const requestIdPattern = /^[\w\-.:]{1,200}$/v;
 const modelPaths: ReadonlySet<string> = new Set([
 	'/v1/chat/completions',
 	'/v1/completions',
 ]);
 
 /**
-Reads and checks everything that a request states.
+Parses and validates a request.
 */
 export const parseRequest = (
 	incoming: IncomingRequest,
 	context: ParseContext,
 ): Result<ParsedRequest, GatewayError> =>
-	readTarget(incoming, context.configuration).andThen((target) => {
+	parseTarget(incoming, context.configuration).andThen((target) => {
 		const labels = parseLabels(headerOf(incoming, requestHeaders.labels));
 		if (labels.isErr) {
 			return Result.err(labels.error);
 		}
 
-		return readOptions(incoming, context).map((read) => ({
-			...read,
+		return parseOptions(incoming, context).map((options) => ({
+			...options,
 			client: context.client,
 			service: target.service,
 			model: target.model,
 			isStreaming: target.isStreaming,
 			labels: deriveLabels(labels.value, target, context.client),
 			isRepeatable:
-				read.isRepeatable ??
+				options.isRepeatable ??
 				isRepeatableByService(target.service, incoming.method),
-			prefixKey: String(stableHash(target.prompt.slice(0, prefixLength))),
+			prefixKey: String(stableHash(target.prompt.slice(0, prefixCharacters))),
 			method: incoming.method,
 			url: incoming.url,
 			contentType: headerOf(incoming, 'content-type'),
@@ -82,17 +82,17 @@
 	readonly prompt: string;
 };
 
-const readTarget = (
+const parseTarget = (
 	incoming: IncomingRequest,
 	configuration: Configuration,
 ): Result<Target, GatewayError> => {
 	const path = pathOf(incoming);
 	return modelPaths.has(path)
-		? readModelCall(incoming, configuration)
-		: readPlainCall(path, configuration);
+		? parseModelCall(incoming, configuration)
+		: parsePlainCall(path, configuration);
 };
 
-const readPlainCall = (
+const parsePlainCall = (
 	path: string,
 	configuration: Configuration,
 ): Result<Target, GatewayError> => {
@@ -122,7 +122,7 @@
 	return path === trimmed || path.startsWith(`${trimmed}/`);
 };
 
-const readModelCall = (
+const parseModelCall = (
 	incoming: IncomingRequest,
 	configuration: Configuration,
 ): Result<Target, GatewayError> => {
@@ -137,7 +137,7 @@
 		return Result.err(
 			createGatewayError(
 				'bad-request',
-				'The body cannot be read: send one JSON object',
+				'The body cannot be parsed: send one JSON object',
 			),
 		);
 	}
@@ -145,7 +145,10 @@
 	const {model} = body;
 	if (typeof model !== 'string') {
 		return Result.err(
-			createGatewayError('bad-request', 'Name a model: "model" must be a text'),
+			createGatewayError(
+				'bad-request',
+				'Name a model: "model" must be a string',
+			),
 		);
 	}
 
@@ -206,7 +209,7 @@
 	return {
 		...client.labels,
 		...labels,
-		// Derived labels come last: a caller cannot pass itself off as another client.
+		// Derived labels override the others, so that a caller cannot impersonate another client.
 		client: client.name,
 		service: target.service.name,
 		...(target.model !== undefined && {
@@ -228,33 +231,35 @@
 	}
 };
 
-const readOptions = (incoming: IncomingRequest, context: ParseContext) => {
+const parseOptions = (incoming: IncomingRequest, context: ParseContext) => {
 	const {configuration, client, now} = context;
-	const givenId = headerOf(incoming, requestHeaders.requestId);
-	if (givenId !== undefined && !requestIdForm.test(givenId)) {
-		return fault(
+	const callerId = headerOf(incoming, requestHeaders.requestId);
+	if (callerId !== undefined && !requestIdPattern.test(callerId)) {
+		return badRequest(
 			'x-request-id must be 1 to 200 letters, digits, ".", ":", "_" or "-"',
 		);
 	}
 
-	const priority = readNumber(
+	const priority = parseInteger(
 		headerOf(incoming, requestHeaders.priority),
 		client.priority,
 		0,
 		9,
 	);
 	if (priority === undefined) {
-		return fault('x-quillford-priority must be a whole number from 0 to 9');
+		return badRequest(
+			'x-quillford-priority must be a whole number from 0 to 9',
+		);
 	}
 
-	const remainingMs = readNumber(
+	const remainingMs = parseInteger(
 		headerOf(incoming, requestHeaders.deadline),
 		configuration.timing.requestTimeoutMs,
 		1,
 		maximumDeadlineMs,
 	);
 	if (remainingMs === undefined) {
-		return fault(
+		return badRequest(
 			`x-quillford-deadline-ms must be a whole number from 1 to ${maximumDeadlineMs}`,
 		);
 	}
@@ -265,30 +270,30 @@
 		repeatable !== 'true' &&
 		repeatable !== 'false'
 	) {
-		return fault('x-quillford-repeatable must be "true" or "false"');
+		return badRequest('x-quillford-repeatable must be "true" or "false"');
 	}
 
-	const claim = {requested: readRegions(incoming), client};
+	const claim = {requested: parseRegions(incoming), client};
 	return resolveResidency(claim, configuration).andThen((residency) => {
 		const home = headerOf(incoming, requestHeaders.home);
 		if (
 			home !== undefined &&
 			configuration.regions.every(({name}) => name !== home)
 		) {
-			return fault(
+			return badRequest(
 				`x-quillford-home names region "${home.slice(0, 100)}", which is not configured`,
 			);
 		}
 
-		// A request bound to one region is at home there, wherever it entered.
-		const bound =
+		// A request that may be served in one region only has its home there, whichever node receives it.
+		const onlyRegion =
 			residency.kind === 'regions' && residency.regions.length === 1
 				? residency.regions[0]
 				: undefined;
 		return Result.ok({
-			requestId: givenId ?? context.issueId(),
+			requestId: callerId ?? context.issueId(),
 			claim,
-			homeRegion: home ?? bound ?? context.localRegion,
+			homeRegion: home ?? onlyRegion ?? context.localRegion,
 			priority,
 			deadline: now + remainingMs,
 			isRepeatable:
@@ -300,10 +305,10 @@
 
 const maximumDeadlineMs = 3_600_000;
 
-const fault = (message: string) =>
+const badRequest = (message: string) =>
 	Result.err<never, GatewayError>(createGatewayError('bad-request', message));
 
-const readNumber = (
+const parseInteger = (
 	text: string | undefined,
 	fallback: number,
 	minimum: number,
@@ -319,7 +324,7 @@
 		: undefined;
 };
 
-const readRegions = (
+const parseRegions = (
 	incoming: IncomingRequest,
 ): readonly string[] | undefined =>
 	headerOf(incoming, requestHeaders.residency)
--- a/src/requests/permits.ts
+++ b/src/requests/permits.ts
@@ -3,68 +3,68 @@
 import type {Outcome} from '../errors/index.ts';
 
 /**
-Who may run a request, read from its id.
+The process that issued a request id; only that process may run the request.
 */
 export type PermitIssuer = {
 	readonly node: string;
 	/**
-	Names one start of the node's process.
+	Identifies one run of the node's process.
 	*/
 	readonly epoch: string;
 };
 
 /**
-What is kept of a request that was run under a permit.
+Record of a request that was run under a permit.
 */
-export type PermitRecord<Kept> =
-	| {readonly kind: 'running'; readonly answer: Kept}
+export type PermitRecord<StoredAnswer> =
+	| {readonly kind: 'running'; readonly answer: StoredAnswer}
 	| {
 			readonly kind: 'ended';
 			readonly outcome: Outcome;
-			readonly answer: Kept | undefined;
+			readonly answer: StoredAnswer | undefined;
 	  };
 
 /**
-What redeeming a permit leads to.
+Result of redeeming a permit.
 */
-export type Redemption<Kept> =
+export type Redemption<StoredAnswer> =
 	/**
-	First use: run it, once.
+	First use: run the request.
 	*/
 	| {readonly kind: 'run'}
 	/**
-	Used before: give the same answer.
+	Repeated use: return the same answer.
 	*/
-	| {readonly kind: 'repeat'; readonly record: PermitRecord<Kept>}
+	| {readonly kind: 'repeat'; readonly record: PermitRecord<StoredAnswer>}
 	/**
-	Used before by another client or with another body.
+	The id was used by another client or with another body.
 	*/
 	| {readonly kind: 'conflict'}
 	/**
-	Issued by another node, which must be asked.
+	Issued by another node, to which the request must be forwarded.
 	*/
-	| {readonly kind: 'elsewhere'; readonly holder: PermitIssuer}
+	| {readonly kind: 'elsewhere'; readonly issuer: PermitIssuer}
 	/**
-	Issued by an earlier process of this node, or so long ago that its use is forgotten.
+	Issued by an earlier process of this node, or longer ago than uses are remembered.
 	*/
 	| {readonly kind: 'forgotten'}
 	/**
-	Not an id that the system issued.
+	Not an id that a node issued.
 	*/
 	| {readonly kind: 'not-issued'};
 
 /**
-What permits are built from.
+Options of `createPermits`.
 */
 export type PermitOptions = {
 	readonly node: string;
 	readonly epoch: string;
 	/**
-	Known to this process alone; proves that it issued an id.
+	Key of the HMAC in each id, which proves that this process issued it; never leaves the process.
 	*/
 	readonly secret: string;
 	/**
-	Milliseconds for which a use is remembered.
+	How long a use is remembered, in milliseconds.
 	*/
 	readonly retentionMs?: number;
 };
@@ -79,45 +79,49 @@
 };
 
 /**
-Permits of one process: each lets one request run at most once.
+Permits of one process. Each permit lets one request run at most once.
 */
-export type Permits<Kept> = {
+export type Permits<StoredAnswer> = {
 	issue(now: number): string;
-	redeem(use: PermitUse, now: number): Redemption<Kept>;
+	redeem(use: PermitUse, now: number): Redemption<StoredAnswer>;
 	/**
-	Attaches what a repeat is to be answered with while the request runs.
+	Attaches the answer that repeated requests get while the request runs.
 	*/
-	attach(requestId: string, kept: Kept): void;
+	attach(requestId: string, answer: StoredAnswer): void;
 	/**
-	Records the end; `not-run` makes the permit usable again.
+	Records the end of a request; after `not-run` the permit can be used again.
 	*/
-	end(requestId: string, outcome: Outcome, kept: Kept | undefined): void;
+	end(
+		requestId: string,
+		outcome: Outcome,
+		answer: StoredAnswer | undefined,
+	): void;
 	/**
 	Whether a request with this id may have run, here or elsewhere.
 	*/
 	mayHaveRun(requestId: string): boolean;
 	/**
-	Uses remembered at present.
+	Number of remembered uses.
 	*/
 	size(): number;
 };
 
-type Use<Kept> = {
+type Use<StoredAnswer> = {
 	readonly clientName: string;
 	readonly bodyDigest: string;
 	readonly usedAt: number;
-	readonly record: PermitRecord<Kept> | undefined;
+	readonly record: PermitRecord<StoredAnswer> | undefined;
 };
 
 /**
-How long a use is remembered unless stated otherwise: ten minutes.
+Default time for which a use is remembered: 10 minutes, in milliseconds.
 */
 export const permitRetentionMs = 600_000;
 
-const sealLength = 16;
+const signatureLength = 16;
 
 /**
-The parts of an issued id, or undefined for any other text.
+Parses an issued id; returns undefined for any other text.
 */
 export const parsePermit = (requestId: string) => {
 	const groups =
@@ -136,28 +140,30 @@
 };
 
 /**
- Builds the permits of one process.
+ Creates the permits of one process.
  
  An id names the process that issued it, and only that process may run the request.
- So no two nodes can both believe that they may, however their views differ, and no
- message is needed to be sure of it. When the process is gone, so is the permit.
+ Two nodes therefore never run the same id, even during a network partition, and no
+ coordination is needed. When the process ends, its permits are no longer valid.
  */
-export const createPermits = <Kept>(options: PermitOptions): Permits<Kept> => {
+export const createPermits = <StoredAnswer>(
+	options: PermitOptions,
+): Permits<StoredAnswer> => {
 	const {node, epoch, secret} = options;
 	const retentionMs = options.retentionMs ?? permitRetentionMs;
-	const uses = new Map<string, Use<Kept>>();
+	const uses = new Map<string, Use<StoredAnswer>>();
 	let count = 0;
 
-	const sealOf = (text: string) =>
+	const sign = (text: string) =>
 		createHmac('sha256', secret)
 			.update(text)
 			.digest('hex')
-			.slice(0, sealLength);
+			.slice(0, signatureLength);
 
 	const isExpired = (at: number, now: number) => now - at >= retentionMs;
 
-	const forget = (now: number) => {
-		// Uses are kept in the order in which they were made, so the oldest come first.
+	const removeExpired = (now: number) => {
+		// The map keeps insertion order, so the oldest uses come first.
 		for (const [requestId, use] of uses) {
 			if (!isExpired(use.usedAt, now)) {
 				return;
@@ -169,11 +175,11 @@
 		}
 	};
 
-	const judgeOwn = (
+	const redeemLocal = (
 		use: PermitUse,
 		at: number,
 		now: number,
-	): Redemption<Kept> => {
+	): Redemption<StoredAnswer> => {
 		const earlier = uses.get(use.requestId);
 		if (earlier) {
 			const isSame =
@@ -188,8 +194,8 @@
 				: {kind: 'forgotten'};
 		}
 
-		// The use of an id is remembered from its first use, so an old id that is not
-		// remembered may have been used: it is never run.
+		// Uses older than the retention are removed, so an expired id without a record may have been
+		// used: it is never run.
 		if (isExpired(at, now)) {
 			return {kind: 'forgotten'};
 		}
@@ -202,26 +208,26 @@
 		issue(now) {
 			count += 1;
 			const text = `${node}:${epoch}:${Math.floor(now).toString(36)}:${count.toString(36)}`;
-			return `${text}:${sealOf(text)}`;
+			return `${text}:${sign(text)}`;
 		},
 		redeem(use, now) {
-			forget(now);
+			removeExpired(now);
 			const permit = parsePermit(use.requestId);
 			if (!permit) {
 				return {kind: 'not-issued'};
 			}
 
 			if (permit.node !== node) {
-				return {kind: 'elsewhere', holder: permit};
+				return {kind: 'elsewhere', issuer: permit};
 			}
 
 			if (permit.epoch !== epoch) {
 				return {kind: 'forgotten'};
 			}
 
-			const text = use.requestId.slice(0, -(sealLength + 1));
-			return isEqualInConstantTime(sealOf(text), permit.seal)
-				? judgeOwn(use, permit.at, now)
+			const text = use.requestId.slice(0, -(signatureLength + 1));
+			return isEqualInConstantTime(sign(text), permit.seal)
+				? redeemLocal(use, permit.at, now)
 				: {kind: 'not-issued'};
 		},
 		attach(requestId, answer) {
--- a/src/requests/relay-stream.ts
+++ b/src/requests/relay-stream.ts
@@ -12,7 +12,7 @@
 import type {GatewayRequest} from './gateway-request.ts';
 
 /**
-Relays the attempts of a streamed request into one answer.
+Relays the attempts of a streamed request into one response stream.
 */
 export type StreamRelay = (
 	request: GatewayRequest,
@@ -27,14 +27,14 @@
 const stallCheckMs = 1000;
 
 /**
-Builds a relay over attempts.
+Creates a stream relay.
 */
 export const createStreamRelay = (
 	attempts: Attempts,
 	clock: () => number,
 ): StreamRelay => {
-	// Relays one attempt after the other into one answer. An attempt is ended and its
-	// remaining bytes are given up before the next one is opened.
+	// Relays one attempt after another. Each attempt is finished and its remaining bytes are
+	// discarded before the next one is opened.
 	async function* relay(
 		request: GatewayRequest,
 		progress: Progress,
@@ -96,9 +96,9 @@
 		let isFirst = true;
 		let lastEventAt = clock();
 		let lastCheckAt = lastEventAt;
-		const watch = setInterval(() => {
+		const stallTimer = setInterval(() => {
 			const now = clock();
-			// A pause of this process is no silence of the other side.
+			// After a pause of this process, the time without events says nothing about the other side.
 			if (now - lastCheckAt > 2 * stallCheckMs) {
 				lastEventAt = now;
 			}
@@ -141,12 +141,14 @@
 
 			return {
 				kind: 'failed',
-				failure: brokenAnswerFailure(new Error('the stream ended too soon')),
+				failure: brokenAnswerFailure(
+					new Error('the stream ended before its final event'),
+				),
 			};
 		} catch (error) {
 			return {kind: 'failed', failure: brokenAnswerFailure(error as Error)};
 		} finally {
-			clearInterval(watch);
+			clearInterval(stallTimer);
 			attempt.finish(request.signal.aborted ? 'canceled' : 'failed');
 			if (!hasEnded) {
 				attempt.abort.abort();
--- a/src/requests/replayable-answer.ts
+++ b/src/requests/replayable-answer.ts
@@ -2,28 +2,28 @@
 import {refuse, type Answer, type StreamEnd} from './answer.ts';
 
 /**
- An answer that can be given more than once: to the caller, and to the same caller
- coming back with the same request id.
+ An answer that can be returned more than once: to the caller, and again when the caller
+ repeats the request with the same id.
  */
 export type ReplayableAnswer = {
 	/**
-	The answer, for one reader.
+	Returns the answer for one reader.
 	*/
 	read(): Promise<Answer>;
 };
 
 /**
-The longest answer that is kept after its end, in bytes of a body or characters of a stream.
+Maximum length of an answer that is stored after its end, in bytes of a body or characters of a stream.
 */
 export const maximumReplayLength = 65_536;
 
 /**
- Runs a request to its end, whether or not its caller stays, and keeps the answer.
+ Runs a request to its end, even if its caller disconnects, and stores the answer.
  
- A request that may run only once is not broken off when its caller goes: the caller
- can come back with the same id and get the outcome.
- @param run
- @param onEnd called once, when the request has ended.
+ A request that may run only once is not aborted when its caller disconnects: the caller
+ can repeat it with the same id and get the answer.
+ @param run Runs the request.
+ @param onEnd Called once, when the request has ended.
  */
 export const createReplayableAnswer = (
 	run: () => Promise<Answer>,
@@ -54,18 +54,18 @@
 		}
 
 		case 'stream': {
-			const stream = pump(answer.pieces, () => {
+			const stream = bufferStream(answer.pieces, () => {
 				onEnd('ran');
 			});
 			return () =>
 				stream.isDropped()
-					? refuse(dropped())
+					? refuse(notStored())
 					: {...answer, pieces: stream.read()};
 		}
 	}
 };
 
-// An error of the program itself must still end the request in the books.
+// An unexpected exception must still record the end of the request.
 const runSafely = async (run: () => Promise<Answer>): Promise<Answer> => {
 	try {
 		return await run();
@@ -77,21 +77,21 @@
 };
 
 const readOnce = (answer: Answer): Reader => {
-	let left: Answer | undefined = answer;
+	let unread: Answer | undefined = answer;
 	return () => {
-		const read = left ?? refuse(dropped());
-		left = undefined;
-		return read;
+		const result = unread ?? refuse(notStored());
+		unread = undefined;
+		return result;
 	};
 };
 
-const dropped = () =>
+const notStored = () =>
 	createGatewayError(
 		'answer-not-kept',
-		'The request ran; its answer was too long to be kept',
+		'The request ran; its response was too long to be stored',
 	);
 
-const pump = (
+const bufferStream = (
 	source: AsyncGenerator<string, StreamEnd, void>,
 	onEnd: () => void,
 ) => {
@@ -99,22 +99,22 @@
 	let length = 0;
 	let end: StreamEnd | undefined;
 	let isDropped = false;
-	let wake: Array<() => void> = [];
+	let waiters: Array<() => void> = [];
 
 	const notify = () => {
-		const waiting = wake;
-		wake = [];
+		const waiting = waiters;
+		waiters = [];
 		for (const resume of waiting) {
 			resume();
 		}
 	};
 
-	const news = async () =>
+	const nextChange = async () =>
 		new Promise<void>((resolve) => {
-			wake.push(resolve);
+			waiters.push(resolve);
 		});
 
-	const drain = async () => {
+	const readAll = async () => {
 		for (;;) {
 			const next = await source.next();
 			if (next.done) {
@@ -128,7 +128,7 @@
 		}
 
 		if (length > maximumReplayLength) {
-			// Readers that are under way hold their own reference to the pieces.
+			// Readers that have started hold their own reference to the pieces.
 			pieces = [];
 			isDropped = true;
 		}
@@ -138,20 +138,20 @@
 	};
 
 	async function* read(): AsyncGenerator<string, StreamEnd, void> {
-		const own = pieces;
+		const buffered = pieces;
 		for (let index = 0; ; index += 1) {
-			while (index >= own.length) {
+			while (index >= buffered.length) {
 				if (end) {
 					return end;
 				}
 
-				await news();
+				await nextChange();
 			}
 
-			yield own[index]!;
+			yield buffered[index]!;
 		}
 	}
 
-	void drain();
+	void readAll();
 	return {read, isDropped: () => isDropped};
 };
--- a/src/requests/request-chain.ts
+++ b/src/requests/request-chain.ts
@@ -26,7 +26,7 @@
 import type {RequestExecutor} from './request-executor.ts';
 
 /**
-What the chain is built from.
+Options of `createRequestChain`.
 */
 export type RequestChainOptions = {
 	readonly clock: () => number;
@@ -34,7 +34,7 @@
 	readonly configuration: () => ParsedConfiguration | undefined;
 	readonly localRegion: () => string;
 	/**
-	Why nothing may be sent now, if so; waits out a short recovery after a pause.
+	Error while no request may be sent, otherwise undefined; waits for a short recovery after a pause of the process.
 	*/
 	readonly readiness: () => Promise<GatewayError | undefined>;
 	readonly limits: ClientLimits;
@@ -50,7 +50,7 @@
 };
 
 /**
-The way of a request through this node.
+Processes requests through the filters of this node.
 */
 export type RequestChain = {
 	/**
@@ -58,13 +58,13 @@
 	*/
 	answer(incoming: IncomingRequest): Promise<Answer>;
 	/**
-	Answers a request that another node passed here because its permit is from here.
+	Answers a request that another node forwarded here, because this node issued its permit.
 	*/
 	redeem(request: GatewayRequest): Promise<Answer>;
 };
 
 /**
-Builds the chain; read it from top to bottom to follow a request.
+Creates the chain. A request passes the filters in the order in which they appear here.
 */
 export const createRequestChain = (
 	options: RequestChainOptions,
@@ -112,14 +112,14 @@
 		}
 	};
 
-	const read = createParseFilter({
+	const parse = createParseFilter({
 		clock,
 		localRegion: options.localRegion,
 		issueId: () => options.permits.issue(clock()),
 	});
 	const limit = createLimitFilter(options.limits, clock);
-	const match = createPolicyFilter(options.wallClock);
-	const account = createRecordingFilter({
+	const policy = createPolicyFilter(options.wallClock);
+	const record = createRecordingFilter({
 		clock,
 		wallClock: options.wallClock,
 		configuration: () => options.configuration()?.configuration,
@@ -138,35 +138,35 @@
 		track,
 	});
 
-	const understand = chain(
+	const interpret = chain(
 		chain(awaitReadiness, identifyFilter),
-		chain(read, match),
+		chain(parse, policy),
 	);
 
-	// A refusal that comes before the permit is looked at speaks of this submission alone;
-	// of an id that was used before it must not claim that nothing ran.
-	const understandWithCare: Filter<IncomingRequest, GatewayRequest> = async (
+	// A request that is rejected before the permit check may repeat an id whose request has run, so
+	// its outcome is then `unknown` instead of `not-run`.
+	const interpretSafely: Filter<IncomingRequest, GatewayRequest> = async (
 		incoming,
 		next,
 	) => {
-		let isUnderstood = false;
-		const answer = await understand(incoming, async (request) => {
-			isUnderstood = true;
+		let isInterpreted = false;
+		const answer = await interpret(incoming, async (request) => {
+			isInterpreted = true;
 			return next(request);
 		});
 		const requestId = headerOf(incoming, requestHeaders.requestId);
-		const isDoubtful =
-			!isUnderstood &&
+		const isPossibleRepeat =
+			!isInterpreted &&
 			requestId !== undefined &&
 			options.permits.mayHaveRun(requestId);
-		return isDoubtful && answer.kind === 'refused'
+		return isPossibleRepeat && answer.kind === 'refused'
 			? refuse({...answer.error, outcome: 'unknown'})
 			: answer;
 	};
 
-	const enter = chain(countInFlight, understandWithCare);
-	const admit = chain(account, chain(permit, limit));
-	const admitFromPeer = chain(account, chain(permitOfPeer, limit));
+	const enter = chain(countInFlight, interpretSafely);
+	const admit = chain(record, chain(permit, limit));
+	const admitFromPeer = chain(record, chain(permitOfPeer, limit));
 
 	return {
 		answer: async (incoming) =>
--- a/src/requests/request-executor.ts
+++ b/src/requests/request-executor.ts
@@ -18,7 +18,7 @@
 import type {StreamRelay} from './relay-stream.ts';
 
 /**
-What the executor is built from.
+Options of `createRequestExecutor`.
 */
 export type ExecutorOptions = {
 	readonly clock: () => number;
@@ -28,18 +28,18 @@
 };
 
 /**
-Carries out requests: attempts, retries and resumption.
+Executes requests with attempts, retries and resumption of streams.
 */
 export type RequestExecutor = {
 	/**
-	 Runs a request to its answer.
+	 Runs a request and returns its answer.
 	 
-	 @param isForwarded whether it came from another node; then it is served in this zone or refused.
+	 @param isForwarded Whether another node forwarded the request; it is then served in this zone or rejected.
 	 */
 	execute(request: GatewayRequest, isForwarded: boolean): Promise<Answer>;
 	/**
-	 Makes the one attempt of a request that another node sent here, and hands its answer
-	 over as the backend server gives it; the origin checks it and decides what follows.
+	 Makes the single attempt for a request that another node forwarded, and returns the backend
+	 server's response unchanged; the origin checks it and decides on a retry.
 	 */
 	openForwarded(
 		request: GatewayRequest,
@@ -49,23 +49,23 @@
 };
 
 /**
-The open attempt of a forwarded request.
+An attempt for a forwarded request whose response head has arrived.
 */
 export type ForwardedAttempt = {
 	readonly upstream: UpstreamAnswer;
 	readonly backendServer: string;
 	/**
-	To be called once when the answer has been passed on or given up.
+	Must be called once, when the response has been passed on or abandoned.
 	*/
 	readonly finish: (end: AttemptEnd) => void;
 	/**
-	To be called when the first byte has arrived.
+	Must be called when the first byte has arrived.
 	*/
 	readonly observeFirstByte: () => void;
 };
 
 /**
-Builds an executor.
+Creates a request executor.
 */
 export const createRequestExecutor = (
 	options: ExecutorOptions,
@@ -93,7 +93,7 @@
 		progress: Progress,
 	): Promise<Answer> => {
 		for (;;) {
-			// Attempts follow one another; there are never two at a time.
+			// Attempts are sequential; at most one is open at a time.
 			const opened = await attempts.open(request, progress, 0);
 			if (opened.isErr) {
 				return refuse(opened.error);
@@ -174,7 +174,7 @@
 				};
 			}
 
-			// An engine that does not stream answers with a whole body, most often an error.
+			// An engine that does not stream sends a complete body, usually an error.
 			const answer = await readWhole(request, attempt, progress);
 			if (answer.isOk) {
 				return answer.value;
@@ -209,11 +209,11 @@
 		}
 
 		if (target.value.kind === 'peer') {
-			// Not reachable while the chooser keeps its word; a second hop must fail, not happen.
+			// The chooser returns no peer for a forwarded request; this check prevents a second hop all the same.
 			return Result.err(
 				createGatewayError(
 					'hop-refused',
-					'A forwarded request is never sent on',
+					'A forwarded request is not forwarded again',
 				),
 			);
 		}
--- a/src/requests/request-limits.ts
+++ b/src/requests/request-limits.ts
@@ -6,40 +6,40 @@
 type Engine = Pick<BackendServer, 'id'>;
 
 /**
-Keeps the attempts of requests within the limits that engines name.
+Keeps attempts within the rate limits that engines announce.
 */
 export type RequestLimits = {
 	canSend(server: Engine, now: number): boolean;
 	/**
-	Requests a second that this node may send to a server; undefined where the server has no limit.
+	Requests per second that this node may send to a server; undefined if the server has no limit.
 	*/
 	rateOf(server: Engine): number | undefined;
 	/**
-	Milliseconds between two readings of a server's load by one node; 0 where it has no limit.
+	Milliseconds between two polls of a server's load by one node; 0 if the server has no limit.
 	*/
 	enginePollIntervalMs(server: Engine): number;
 	recordSent(server: Engine, now: number): void;
 };
 
 /**
-Builds the view that attempts have of the limits.
+Adapts the limits, which are kept per incarnation, to backend servers.
 */
 export const createRequestLimits = (
 	limits: BackendLimits,
 	fleet: Pick<Fleet, 'incarnationOf'>,
 ): RequestLimits => {
-	const lifeOf = ({id}: Engine) =>
+	const incarnationIdOf = ({id}: Engine) =>
 		engineIncarnationId(id, fleet.incarnationOf(id));
 
 	return {
 		canSend: (server, now) =>
-			!limits.hasAny() || limits.canSend(lifeOf(server), now),
+			!limits.hasAny() || limits.canSend(incarnationIdOf(server), now),
 		rateOf: (server) =>
-			limits.hasAny() ? limits.rateOf(lifeOf(server)) : undefined,
+			limits.hasAny() ? limits.rateOf(incarnationIdOf(server)) : undefined,
 		enginePollIntervalMs: (server) =>
-			limits.enginePollIntervalMs(lifeOf(server)),
+			limits.enginePollIntervalMs(incarnationIdOf(server)),
 		recordSent(server, now) {
-			limits.recordSend(lifeOf(server), now);
+			limits.recordSend(incarnationIdOf(server), now);
 		},
 	};
 };
--- a/src/requests/request-quarantine.ts
+++ b/src/requests/request-quarantine.ts
@@ -9,7 +9,7 @@
 import type {GatewayRequest} from './gateway-request.ts';
 
 /**
-One life of a backend server, and when a request was sent to it.
+The incarnation of a backend server to which an attempt was sent, and when.
 */
 export type AttemptIncarnation = {
 	readonly server: string;
@@ -18,7 +18,7 @@
 };
 
 /**
-Tells the quarantine of the attempts of requests.
+Reports the attempts of requests to the quarantine.
 */
 export type RequestQuarantine = {
 	statusOf(request: GatewayRequest): QuarantineStatus;
@@ -27,26 +27,26 @@
 		sentAt: number,
 	): AttemptIncarnation;
 	/**
-	An attempt has ended; without a place it was made by way of another node.
+	Records the end of an attempt; the incarnation is undefined for an attempt that was forwarded to another node.
 	*/
 	recordEnd(
 		request: GatewayRequest,
-		place: AttemptIncarnation | undefined,
+		incarnation: AttemptIncarnation | undefined,
 		end: AttemptEnd,
 	): void;
 };
 
 /**
-Names one life of an engine.
+Returns the id of one incarnation of an engine.
 
-@param id Of the backend server.
-@param incarnation Names its process; undefined before its first report was heard.
+@param id Id of the backend server.
+@param incarnation Identifies its process; undefined before its first load report.
 */
 export const engineIncarnationId = (id: string, incarnation = ''): string =>
 	`${id} ${incarnation}`;
 
 /**
-Builds the view that attempts have of the quarantine.
+Creates the adapter between requests and the quarantine.
 */
 export const createRequestQuarantine = (
 	quarantine: Quarantine,
@@ -60,24 +60,24 @@
 		incarnationId: engineIncarnationId(id, fleet.incarnationOf(id)),
 		sentAt,
 	}),
-	recordEnd(request, place, end) {
+	recordEnd(request, incarnation, end) {
 		if (end === 'answered') {
 			quarantine.served(() => fingerprintOfRequest(request));
-		} else if (end === 'failed' && place) {
+		} else if (end === 'failed' && incarnation) {
 			const fingerprint = fingerprintOfRequest(request);
-			quarantine.connectionBroken({...place, fingerprint}, clock());
+			quarantine.connectionBroken({...incarnation, fingerprint}, clock());
 		}
 	},
 });
 
 /**
-The error of a request that is sent to no server.
+Error for a quarantined request, which is not sent to any server.
 */
-export const quarantinedError = (leftMs: number): GatewayError =>
+export const quarantinedError = (remainingMs: number): GatewayError =>
 	createGatewayError(
 		'quarantined',
-		'Backend servers crashed each time they ran this request; it is in quarantine: change it, or come back later',
-		{retryAfterSeconds: Math.max(0, leftMs) / 1000},
+		'Backend servers crashed each time they ran this request; the request is quarantined: change it or retry later',
+		{retryAfterSeconds: Math.max(0, remainingMs) / 1000},
 	);
 
 const fingerprintOfRequest = ({
--- a/src/requests/request-statements.ts
+++ b/src/requests/request-statements.ts
@@ -14,11 +14,11 @@
 type Engine = Pick<BackendServer, 'id'>;
 
 /**
-Takes in what engines state in the heads of their answers.
+Handles the statements that engines make in their response headers.
 */
 export type RequestStatements = {
 	/**
-	An engine answered an attempt.
+	Handles the response head of an attempt.
 	*/
 	recordAnswer(
 		server: Engine,
@@ -30,37 +30,37 @@
 };
 
 /**
-Builds what attributes heads to the present lives of engines.
+Creates the handler; it attributes each response head to the current incarnation of the engine.
 */
 export const createRequestStatements = (
-	intake: StatementHandler,
+	handler: StatementHandler,
 	fleet: Pick<Fleet, 'incarnationOf'>,
 	clock: () => number,
 ): RequestStatements => {
-	const heard = (
+	const handle = (
 		{id}: Engine,
 		head: EngineHead,
 		sentAt: number,
 		source: AnswerSource,
 	) => {
-		intake.handle({
+		handler.handle({
 			...head,
 			server: id,
 			incarnationId: engineIncarnationId(id, fleet.incarnationOf(id)),
 			source,
 			sentAt,
 			receivedAt: clock(),
-			// A failure without a limit does not end one: only a server at work shows that.
+			// Only the answer to an attempt proves that the server works, so only there does a missing limit end an earlier one.
 			isSigned: source === 'answer',
 		});
 	};
 
 	return {
 		recordAnswer(server, attemptId, head, sentAt) {
-			heard(server, head, sentAt, sourceOf(attemptId, head));
+			handle(server, head, sentAt, sourceOf(attemptId, head));
 		},
 		recordLoadReport(server, head, sentAt) {
-			heard(server, head, sentAt, 'load report');
+			handle(server, head, sentAt, 'load report');
 		},
 	};
 };
--- a/src/requests/target-choice.ts
+++ b/src/requests/target-choice.ts
@@ -9,12 +9,12 @@
 import type {RequestLimits} from './request-limits.ts';
 
 /**
-A summary of another zone as it was heard, with its age.
+A summary received from another zone, with its age.
 */
 export type ReceivedZoneSummary = ZoneServiceSummary & {readonly ageMs: number};
 
 /**
-Where the next attempt of a request goes.
+Target of the next attempt of a request.
 */
 export type TargetChoice =
 	| {
@@ -30,35 +30,35 @@
 			readonly cleared: ClearedRegion;
 	  }
 	/**
-	There are servers, but every slot is taken.
+	Servers exist, but all slots are in use.
 	*/
 	| {
 			readonly kind: 'busy';
 			/**
-			Given where all of them have named limits: requests a second that this node may send them.
+			Requests per second that this node may send to them; set only if all of them have rate limits.
 			*/
 			readonly perSecond?: number;
 			/**
-			Given where all of them rest: milliseconds until the first of them may be sent a request.
+			Milliseconds until the first of them may receive a request; set only if all of them are in backoff.
 			*/
 			readonly backoffRemainingMs?: number;
 	  }
 	| {readonly kind: 'none'; readonly error: GatewayError};
 
 /**
-What choosing depends on.
+Options of `createTargetChooser`.
 */
 export type ChooserOptions = {
 	readonly availabilityZone: string;
 	readonly fleet: Fleet;
 	/**
-	The limits that backend servers name.
+	Rate limits that backend servers announce.
 	*/
 	readonly limits: Pick<RequestLimits, 'canSend' | 'rateOf'>;
 	readonly random: Random;
 	readonly configuration: () => Configuration | undefined;
 	/**
-	Nodes that can take a forwarded request, in one zone.
+	Returns the nodes of a zone that can take a forwarded request.
 	*/
 	readonly membersIn: (availabilityZone: string) => readonly Member[];
 	readonly summaryOf: (
@@ -69,21 +69,21 @@
 };
 
 /**
-What has been tried already.
+Targets that were tried already.
 */
 export type TriedTargets = {
 	/**
-	Ids of backend servers and nodes that failed for this request.
+	Ids of backend servers and nodes that failed this request.
 	*/
 	readonly excluded: ReadonlySet<string>;
 	/**
-	Whether another zone may be chosen; never for a request that was forwarded here.
+	Whether another node forwarded the request; it must then stay in this zone.
 	*/
 	readonly isForwarded: boolean;
 };
 
 /**
-Chooses targets; keeps only what smooths its choices over time.
+Chooses targets. Its state is limited to the round-robin position, the away share and the overflow flag.
 */
 export type TargetChooser = {
 	choose(
@@ -92,12 +92,12 @@
 		now: number,
 	): TargetChoice;
 	/**
-	Share of recent requests that were sent away from their home region.
+	Share of recent requests that were sent outside their home region.
 	*/
 	awayShare(): number;
 };
 
 /**
-Nothing has been tried yet.
+For the first attempt of a request.
 */
 export const untried: TriedTargets = {excluded: new Set(), isForwarded: false};
--- a/tests/requests/choose-target.test.ts
+++ b/tests/requests/choose-target.test.ts
@@ -67,7 +67,7 @@
 	maximumAwayShare: 0.5,
 });
 
-test('a request stays at home while there is room', () => {
+test('a request stays in its home region while that has capacity', () => {
 	const {chooser} = create();
 	const choice = chooser.choose(
 		requestFor(configuration, {policy: homeFirst}),
@@ -79,7 +79,7 @@
 	assert.equal(chooser.awayShare(), 0);
 });
 
-test('a request bound elsewhere goes to a node there', () => {
+test('a request bound to another region goes to a node there', () => {
 	const {chooser} = create();
 	const claim = {requested: ['ibadan'], client: configuration.clients[0]!};
 	const choice = chooser.choose(
@@ -91,7 +91,7 @@
 	assert.strictEqual(choice.member.availabilityZone, 'ibd-bodija');
 });
 
-test('a bound region that cannot be reached is answered at once, and never replaced', () => {
+test('a request bound to an unreachable region is refused at once and never sent to another region', () => {
 	const {chooser} = create({reachable: ['abj-wuse']});
 	const claim = {requested: ['ibadan'], client: configuration.clients[0]!};
 	const choice = chooser.choose(requestFor(configuration, {claim}), untried, 0);
@@ -100,7 +100,7 @@
 	assert.strictEqual(choice.error.outcome, 'not-run');
 });
 
-test('a busy home overflows to a quiet region, and a full fleet makes a request wait', () => {
+test('a full home region overflows to a region with capacity; if all servers are full, the request waits', () => {
 	const {chooser, fleet} = create();
 	const busy = {running: 90, queued: 0, slots: 64, incarnation: 'i'};
 	for (const {id} of configuration.backendServers) {
@@ -155,7 +155,7 @@
 	);
 });
 
-test('whatever the load, policy and failures, a choice keeps residency and a forwarded request stays in the zone', () => {
+test('for any load, policy and failures, a choice obeys the residency and a forwarded request stays in the zone', () => {
 	const strategy = fc.constantFrom(
 		{kind: 'round-robin'} as const,
 		{kind: 'least-loaded'} as const,
@@ -206,7 +206,7 @@
 						0,
 					);
 					if (choice.kind === 'backend-server' || choice.kind === 'peer') {
-						// The client account is bound to abuja, so nothing else may ever be chosen.
+						// The client account is bound to abuja, so no other region may be chosen.
 						assert.equal(choice.cleared.region, 'abuja');
 						assert.ok(requested?.includes('abuja') ?? true);
 					}
--- a/tests/requests/event-stream.test.ts
+++ b/tests/requests/event-stream.test.ts
@@ -38,7 +38,7 @@
 	return {text, fault: undefined};
 };
 
-test('wherever the bytes are cut, the same events come out', () => {
+test('the reader returns the same events for any split into chunks', () => {
 	const bytes = Buffer.from(streamOf('a', 0, 6));
 	fc.assert(
 		fc.property(
@@ -59,7 +59,7 @@
 	);
 });
 
-test('a stream that breaks anywhere and is resumed gives each token exactly once', () => {
+test('a stream that breaks at any byte and is resumed delivers each token exactly once', () => {
 	fc.assert(
 		fc.property(
 			fc.array(fc.integer({min: 0, max: 400}), {maxLength: 5}),
@@ -69,7 +69,7 @@
 				let text = '';
 				for (const [attempt, length] of [...breaks, 100_000].entries()) {
 					const name = `attempt-${attempt}`;
-					// An engine may begin some tokens early; those are dropped.
+					// An engine may resume some tokens too early; the reader drops the duplicates.
 					const from = Math.max(0, delivered - overlap);
 					const reader = createEventStreamReader(name, delivered);
 					text += read(
@@ -94,7 +94,7 @@
 	);
 });
 
-test('events of another attempt and gaps are faults, and nothing of them is passed on', () => {
+test('events of another attempt and gaps in the index are faults and are not passed on', () => {
 	const foreign = read(
 		createEventStreamReader('a', 0),
 		Buffer.from(eventOf('b', 0, '"x"')),
@@ -110,7 +110,7 @@
 	assert.equal(gap.text, '');
 });
 
-test('what comes before a fault in the same chunk is still delivered, and the fault follows', () => {
+test('events before a fault in the same chunk are delivered; the next call reports the fault', () => {
 	const reader = createEventStreamReader('a', 0);
 	const first = reader.push(
 		Buffer.from(eventOf('a', 0, '"x"') + eventOf('b', 1, '"y"')),
--- a/tests/requests/parse-request.test.ts
+++ b/tests/requests/parse-request.test.ts
@@ -39,7 +39,7 @@
 const withHeader = (name: string, value: string) =>
 	incoming({headers: {[name]: value}});
 
-test('a model call is read with its defaults', () => {
+test('a model call is parsed with its defaults', () => {
 	const request = parseRequest(incoming(), context).unwrapOr(
 		undefined as never,
 	);
@@ -52,19 +52,19 @@
 	assert.ok(!request.isStreaming);
 });
 
-test('a plain call is read by its path; its method decides whether it may be repeated', () => {
-	const read = (method: string) =>
+test('the path of a plain call selects the service; its method decides whether it is repeatable', () => {
+	const parse = (method: string) =>
 		parseRequest(
 			incoming({method, url: '/docket/pages?x=1'}),
 			context,
 		).unwrapOr(undefined as never);
-	assert.equal(read('GET').service.name, 'docket-desk');
-	assert.ok(read('GET').isRepeatable);
-	assert.ok(!read('POST').isRepeatable);
+	assert.equal(parse('GET').service.name, 'docket-desk');
+	assert.ok(parse('GET').isRepeatable);
+	assert.ok(!parse('POST').isRepeatable);
 	assert.equal(kindOf(incoming({url: '/docketed'})), 'unknown-path');
 });
 
-test('each fault of a body has its kind', () => {
+test('each invalid body is refused with its error kind', () => {
 	assert.equal(kindOf(incoming({}, '{"model": ')), 'bad-request');
 	assert.equal(kindOf(incoming({}, '[]')), 'bad-request');
 	assert.equal(kindOf(incoming({}, {messages: []})), 'bad-request');
@@ -72,7 +72,7 @@
 	assert.equal(kindOf(incoming({method: 'GET'})), 'bad-request');
 });
 
-test('each fault of a header has its kind', () => {
+test('each invalid header is refused with its error kind', () => {
 	assert.equal(kindOf(withHeader('x-quillford-priority', '10')), 'bad-request');
 	assert.equal(
 		kindOf(withHeader('x-quillford-deadline-ms', '-1')),
@@ -100,7 +100,7 @@
 	);
 });
 
-test('a request bound to one region is at home there', () => {
+test('a request bound to one region has its home there', () => {
 	const request = parseRequest(
 		withHeader('x-quillford-residency', 'abuja'),
 		context,
@@ -108,7 +108,7 @@
 	assert.equal(request.homeRegion, 'abuja');
 });
 
-test('a caller cannot pass itself off as another client by a label', () => {
+test('a caller cannot impersonate another client with a label', () => {
 	const request = parseRequest(
 		withHeader('x-quillford-labels', 'client=petitioners'),
 		context,
@@ -116,7 +116,7 @@
 	assert.equal(request.labels.client, 'organisers');
 });
 
-test('whatever is sent, reading ends in a request or an error that ran nothing', () => {
+test('any input is parsed to a request or to an error with the outcome not-run', () => {
 	const header = fc.constantFrom(
 		'x-quillford-labels',
 		'x-quillford-priority',
@@ -131,11 +131,11 @@
 			fc.webPath(),
 			(headers, body, url) => {
 				for (const one of [url, '/v1/chat/completions']) {
-					const read = parseRequest(
+					const parsed = parseRequest(
 						incoming({headers, url: one}, body),
 						context,
 					);
-					assert.ok(read.isOk || read.error.outcome === 'not-run');
+					assert.ok(parsed.isOk || parsed.error.outcome === 'not-run');
 				}
 			},
 		),
@@ -143,7 +143,7 @@
 	);
 });
 
-test('a client is found by its key alone', () => {
+test('a client is identified by its key alone', () => {
 	const find = (authorization: string | undefined) =>
 		identifyClient(incoming({headers: {authorization}}), configuration).match({
 			Ok: ({name}) => name,
--- a/tests/requests/permits.test.ts
+++ b/tests/requests/permits.test.ts
@@ -16,23 +16,23 @@
 	bodyDigest = 'body',
 ) => ({requestId, clientName, bodyDigest});
 
-test('an id runs once and is then answered from memory', () => {
+test('an id runs once; repeated uses get the stored answer', () => {
 	const permits = create('a', '01');
 	const id = permits.issue(0);
 	assert.equal(permits.redeem(useOf(id), 1).kind, 'run');
 	permits.attach(id, 'kept');
 	assert.deepEqual(permits.redeem(useOf(id), 2), {
 		kind: 'repeat',
-		record: {kind: 'running', kept: 'kept'},
+		record: {kind: 'running', answer: 'kept'},
 	});
 	permits.end(id, 'ran', 'kept');
 	assert.deepEqual(permits.redeem(useOf(id), 3), {
 		kind: 'repeat',
-		record: {kind: 'ended', outcome: 'ran', kept: 'kept'},
+		record: {kind: 'ended', outcome: 'ran', answer: 'kept'},
 	});
 });
 
-test('an id whose request did not run may be used again', () => {
+test('an id whose request did not run can be used again', () => {
 	const permits = create('a', '01');
 	const id = permits.issue(0);
 	permits.redeem(useOf(id), 1);
@@ -51,7 +51,7 @@
 	);
 });
 
-test('ids of other nodes, earlier processes, old times and forgers are never run', () => {
+test('ids of other nodes, ids of earlier processes, expired ids and forged ids are never run', () => {
 	const permits = create('a', '02');
 	assert.equal(
 		permits.redeem(useOf(create('b', '01').issue(0)), 1).kind,
@@ -69,7 +69,7 @@
 	assert.equal(parsePermit('anything'), undefined);
 });
 
-test('a forgotten use is not run again, even when memory was freed', () => {
+test('an expired use is not run again, even after its record was removed', () => {
 	const permits = create('a', '01');
 	const id = permits.issue(0);
 	permits.redeem(useOf(id), 1);
@@ -85,7 +85,7 @@
 	);
 });
 
-// Model: three nodes; requests, ends, restarts and repeats in any order.
+// Model: three nodes; submissions, ends, restarts and waits in any order.
 type Step =
 	| {readonly kind: 'submit'; readonly node: number; readonly id: number}
 	| {
--- a/tests/requests/replayable-answer.test.ts
+++ b/tests/requests/replayable-answer.test.ts
@@ -18,47 +18,47 @@
 	tokens: 0,
 });
 
-const keep = (run: () => Promise<Answer>) => {
+const create = (run: () => Promise<Answer>) => {
 	const ends: Outcome[] = [];
-	const kept = createReplayableAnswer(run, (outcome) => {
+	const replayable = createReplayableAnswer(run, (outcome) => {
 		ends.push(outcome);
 	});
-	return {kept, ends};
+	return {replayable, ends};
 };
 
 const kindOf = (answer: Answer) =>
 	answer.kind === 'refused' ? answer.error.kind : answer.kind;
 
-test('a short answer can be read again and again', async () => {
-	const {kept, ends} = keep(async () => complete(10));
-	assert.deepEqual(await kept.read(), await kept.read());
+test('a short answer can be read repeatedly', async () => {
+	const {replayable, ends} = create(async () => complete(10));
+	assert.deepEqual(await replayable.read(), await replayable.read());
 	assert.deepEqual(ends, ['ran']);
 });
 
-test('a long answer goes to its first reader and is not kept', async () => {
-	const {kept} = keep(async () => complete(maximumReplayLength + 1));
-	assert.equal(kindOf(await kept.read()), 'complete');
-	assert.equal(kindOf(await kept.read()), 'answer-not-kept');
+test('a long answer goes to its first reader and is not stored', async () => {
+	const {replayable} = create(async () => complete(maximumReplayLength + 1));
+	assert.equal(kindOf(await replayable.read()), 'complete');
+	assert.equal(kindOf(await replayable.read()), 'answer-not-kept');
 });
 
-test('an unexpected error ends the request as unknown', async () => {
-	const {kept, ends} = keep(async () => {
+test('an unexpected exception ends the request with the outcome unknown', async () => {
+	const {replayable, ends} = create(async () => {
 		throw new Error('unexpected');
 	});
-	assert.equal(kindOf(await kept.read()), 'internal');
+	assert.equal(kindOf(await replayable.read()), 'internal');
 	assert.deepEqual(ends, ['unknown']);
 });
 
-test('a refusal ends with its own outcome', async () => {
-	const {ends, kept} = keep(async () => ({
+test('a refusal ends the request with the outcome of its error', async () => {
+	const {ends, replayable} = create(async () => ({
 		kind: 'refused',
 		error: createGatewayError('overloaded', ''),
 	}));
-	await kept.read();
+	await replayable.read();
 	assert.deepEqual(ends, ['not-run']);
 });
 
-test('a stream goes on when nobody reads it, and all readers get the whole of it', async () => {
+test('a stream is read to its end without a reader, and every reader gets all of it', async () => {
 	const pieces = async function* (): AsyncGenerator<string, StreamEnd, void> {
 		yield 'a';
 		yield 'b';
@@ -72,14 +72,14 @@
 		attempts: 1,
 		costPerThousandTokens: 0,
 	};
-	const {kept, ends} = keep(async () => ({
+	const {replayable, ends} = create(async () => ({
 		kind: 'stream',
 		status: 200,
 		headers: {},
 		pieces: pieces(),
 		servedBy,
 	}));
-	const readers = await Promise.all([kept.read(), kept.read()]);
+	const readers = await Promise.all([replayable.read(), replayable.read()]);
 	for (const reader of readers) {
 		assert.strictEqual(reader.kind, 'stream');
 		let text = '';
--- a/tests/requests/request-chain.test.ts
+++ b/tests/requests/request-chain.test.ts
@@ -215,14 +215,14 @@
 	}
 };
 
-test('a request is answered and leaves nothing in flight', async () => {
+test('after a request is answered, none is in flight', async () => {
 	const {chain, inFlight} = createHarness();
 	const answer = await chain.answer(incoming());
 	assert.equal(answer.kind, 'complete');
 	assert.equal(inFlight.count(), 0);
 });
 
-test('without a configuration, or while leaving, a request is refused as not run', async () => {
+test('a node without a configuration or in shutdown refuses a request as not run', async () => {
 	const bare = await createHarness({hasConfiguration: false}).chain.answer(
 		incoming(),
 	);
@@ -237,7 +237,7 @@
 	assert.equal(leaving?.outcome, 'not-run');
 });
 
-test('of an id that may have run, a refusal before the permit never says not run', async () => {
+test('a refusal before the permit check is never not-run for an id that may have run', async () => {
 	const obstacle = createGatewayError('leaving', 'leaving');
 	const {chain} = createHarness({obstacle});
 	const foreign = createPermits<ReplayableAnswer>({
@@ -251,7 +251,7 @@
 	assert.equal(errorOf(answer)?.outcome, 'unknown');
 });
 
-test('a policy that matches nothing, or leaves no server, is no candidate', async () => {
+test('a request without a matching policy or an eligible server is refused as no-candidate', async () => {
 	const none = await createHarness({change: {policies: []}}).chain.answer(
 		incoming(),
 	);
@@ -262,7 +262,7 @@
 	assert.equal(errorOf(empty)?.kind, 'no-candidate');
 });
 
-test('a request under which three servers crashed is sent to no other, and others are', async () => {
+test('a request that crashed three servers is quarantined, and other requests are still sent', async () => {
 	let isDown = true;
 	const {chain, sends} = createHarness({
 		clock: () => performance.now(),
@@ -282,7 +282,7 @@
 	assert.equal(other.kind, 'complete');
 });
 
-test('a client over its limit is answered at once, with when to come back', async () => {
+test('a client above its rate limit is refused at once with a retry time', async () => {
 	const {chain} = createHarness();
 	const answers: Answer[] = [];
 	for (let count = 0; count < 600; count += 1) {
@@ -303,28 +303,28 @@
 	);
 });
 
-test('failures that prove nothing ran are tried elsewhere; the last one is told as not run', async () => {
+test('failures with the outcome not-run are retried at other servers; the final error is not-run', async () => {
 	const {chain, sends} = createHarness({engine: fails('not-run')});
 	const error = errorOf(await chain.answer(incoming()));
 	assert.equal(error?.outcome, 'not-run');
 	assert.equal(sends(), 3);
 });
 
-test('after an attempt that may have run, a refusal is told as unknown', async () => {
+test('after an attempt that may have run, the final error has the outcome unknown', async () => {
 	const engine: Engine = (call, count) =>
 		fails(count === 1 ? 'unknown' : 'not-run')(call, count);
 	const error = errorOf(await createHarness({engine}).chain.answer(incoming()));
 	assert.equal(error?.outcome, 'unknown');
 });
 
-test('a request that may run only once is not tried again after an unknown outcome', async () => {
+test('a request that is not repeatable is not retried after an unknown outcome', async () => {
 	const {chain, sends} = createHarness({engine: fails('unknown')});
 	const error = errorOf(await chain.answer(incoming(once)));
 	assert.equal(error?.kind, 'outcome-unknown');
 	assert.equal(sends(), 1);
 });
 
-test('the same id gives the same answer, another body under it is a conflict', async () => {
+test('the same id gets the same answer; another body with that id is a conflict', async () => {
 	const {chain, permits, sends} = createHarness();
 	const requestId = permits.issue(0);
 	const first = await chain.answer(
@@ -345,7 +345,7 @@
 	assert.equal(errorOf(unissued)?.kind, 'bad-request');
 });
 
-test('an answer that was too long to keep is told to have run', async () => {
+test('a repeated request whose answer was too long to store gets the outcome ran', async () => {
 	const long = JSON.stringify('x'.repeat(maximumReplayLength));
 	const engine: Engine = (call) =>
 		Result.ok({
@@ -364,9 +364,9 @@
 	assert.equal(again?.outcome, 'ran');
 });
 
-test('a stream that breaks is resumed, and one that cannot be resumed ends with an explicit error', async () => {
+test('a broken stream is resumed; one that cannot be resumed ends with an error', async () => {
 	const breaking: Engine = (call, count) => {
-		const rest =
+		const events =
 			count === 1
 				? [eventOf(call, 0, '"a"')]
 				: [
@@ -376,7 +376,7 @@
 		return Result.ok({
 			status: 200,
 			headers: {'content-type': 'text/event-stream'},
-			body: bodyOf(...rest),
+			body: bodyOf(...events),
 		});
 	};
 
@@ -397,7 +397,7 @@
 	assert.equal(inFlight.count(), 0);
 });
 
-test('a deadline that has passed is answered before anything is sent', async () => {
+test('a request past its deadline is refused before anything is sent', async () => {
 	let now = 0;
 	const clock = () => {
 		now += 50;
@@ -413,7 +413,7 @@
 	assert.equal(sends(), 0);
 });
 
-test('a caller that has gone is not served', async () => {
+test('a request is not sent after its caller closed the connection', async () => {
 	const abort = new AbortController();
 	abort.abort();
 	const {chain, sends, inFlight} = createHarness();
