--- a/src/routing/candidate-pool.ts
+++ b/src/routing/candidate-pool.ts
@@ -2,32 +2,32 @@
 import type {BackendServerCandidate} from './candidates.ts';
 
 /**
- The servers that a choice is made among.
+ The servers that a strategy chooses from.
  
- Servers are judged only when they are looked at: a strategy that compares two of
- seven hundred costs no more than one that compares two of ten.
+ A server is evaluated only when a strategy examines it, so comparing two of seven hundred
+ servers costs no more than comparing two of ten.
  */
 export type CandidatePool = {
 	readonly servers: readonly BackendServer[];
 
 	/**
-	The candidate for a server, or undefined where it may not be given work now.
+	Returns the candidate for a server, or undefined if no request may be sent to it now.
 	*/
 	candidateFor(server: BackendServer): BackendServerCandidate | undefined;
 
 	/**
-	Load of all servers as a share of their slots.
+	Load of all servers as a fraction of their slots.
 	*/
 	readonly meanUtilization: number;
 
 	/**
-	Median of the servers' expected times to the first token, in milliseconds.
+	Median of the servers' expected time to the first token, in milliseconds.
 	*/
 	readonly typicalFirstTokenMs: number;
 };
 
 /**
-All candidates of a pool.
+Evaluates all servers of a pool and returns the candidates.
 */
 export const allCandidates = ({
 	servers,
--- a/src/routing/candidates.ts
+++ b/src/routing/candidates.ts
@@ -1,10 +1,10 @@
 /**
-A backend server of this node's own availability zone, as routing sees it.
+Routing data of a backend server in this node's availability zone.
 */
 export type BackendServerCandidate = {
 	readonly id: string;
 	/**
-	Requests estimated to be running or queued there now.
+	Estimated number of requests that run or wait at the server now.
 	*/
 	readonly load: number;
 	readonly slots: number;
@@ -14,7 +14,7 @@
 	readonly expectedFirstTokenMs: number;
 	readonly costPerThousandTokens: number;
 	/**
-	From just above 0 (just returned, cold) to 1 (fully trusted).
+	Slow-start weight, from just above 0 (just returned, cold caches) to 1 (full share).
 	*/
 	readonly weight: number;
 };
@@ -26,28 +26,28 @@
 	readonly availabilityZone: string;
 	readonly region: string;
 	/**
-	Whether it is the zone of the deciding node.
+	Whether this node is in the zone.
 	*/
 	readonly isLocal: boolean;
 	/**
-	Whether it lies in the request's home region.
+	Whether the zone is in the request's home region.
 	*/
 	readonly isHome: boolean;
 	readonly load: number;
 	readonly slots: number;
 	/**
-	Expected milliseconds to the first token, the way there included.
+	Expected milliseconds to the first token, including the network delay.
 	*/
 	readonly expectedFirstTokenMs: number;
 	readonly costPerThousandTokens: number;
 	/**
-	How far the figures can be trusted, from 0 to 1; falls with their age.
+	Confidence in the estimates, from 0 to 1; decreases with their age.
 	*/
 	readonly trust: number;
 };
 
 /**
-Load as a share of slots; 1 means that every slot is taken.
+Load as a fraction of the slots; 1 means that all slots are in use.
 */
 export const utilization = ({
 	load,
--- a/src/routing/choose-backend-server.ts
+++ b/src/routing/choose-backend-server.ts
@@ -4,16 +4,16 @@
 import {utilization, type BackendServerCandidate} from './candidates.ts';
 
 /**
-What a choice depends on besides the servers.
+Inputs of a choice besides the servers.
 */
 export type ChoiceContext = {
 	/**
-	Groups requests that share a prompt prefix.
+	Hash of the prompt prefix; requests with the same prefix have the same key.
 	*/
 	readonly prefixKey: string;
 
 	/**
-	Rises by one with each choice; drives round robin.
+	Position of the round robin; increases by one with each choice.
 	*/
 	readonly turn: number;
 	readonly random: Random;
@@ -22,7 +22,7 @@
 type Choice = BackendServerCandidate | undefined;
 
 /**
-Chooses one of the servers that may be given work, or none if there are none.
+Chooses one of the candidates of the pool; returns undefined if there are none.
 */
 export const chooseBackendServer = (
 	strategy: Strategy,
@@ -31,7 +31,7 @@
 ): Choice => {
 	switch (strategy.kind) {
 		case 'round-robin': {
-			return nextInTurn(pool, context.turn);
+			return nextRoundRobin(pool, context.turn);
 		}
 
 		case 'least-loaded': {
@@ -44,7 +44,7 @@
 		}
 
 		case 'prefix-affinity': {
-			return warmWithinBound(pool, strategy.loadBound, context);
+			return cachedWithinBound(pool, strategy.loadBound, context);
 		}
 
 		case 'cheapest': {
@@ -62,13 +62,13 @@
 };
 
 /**
-The time a further request would wait, as far as known; lower is better.
+Relative estimate of the time that one more request would wait; lower is better.
 */
 export const costOfWaiting = (candidate: BackendServerCandidate): number =>
 	((candidate.load + 1) / candidate.slots) *
 	Math.max(1, candidate.expectedFirstTokenMs);
 
-const nextInTurn = (
+const nextRoundRobin = (
 	{servers, candidateFor}: CandidatePool,
 	turn: number,
 ): Choice => {
@@ -101,8 +101,8 @@
 	return best;
 };
 
-// Draws that miss (a server that is full, leaving or still cold) are repeated so often
-// before all servers are looked at.
+// Random draws before all servers are evaluated. A draw fails if the server is full, shutting down or
+// rejected by its slow-start weight.
 const maximumDraws = 6;
 
 const draw = (
@@ -113,19 +113,21 @@
 	for (let attempt = 0; attempt < maximumDraws; attempt += 1) {
 		const server = pool.servers[random.below(pool.servers.length)]!;
 		const candidate = pool.candidateFor(server);
-		const isTaken =
+		const isAccepted =
 			candidate !== undefined && random.fraction() < candidate.weight;
-		if (isTaken && candidate.id !== other?.id) {
+		if (isAccepted && candidate.id !== other?.id) {
 			return candidate;
 		}
 	}
 
-	const left = allCandidates(pool).filter(({id}) => id !== other?.id);
-	return left.length > 0 ? left[random.below(left.length)] : undefined;
+	const remaining = allCandidates(pool).filter(({id}) => id !== other?.id);
+	return remaining.length > 0
+		? remaining[random.below(remaining.length)]
+		: undefined;
 };
 
-// Comparing two random candidates in place of taking the best of all keeps many nodes with
-// the same late report from sending everything to the same server.
+// Power of two choices: comparing two random candidates instead of all prevents many nodes with
+// the same stale load report from sending every request to the same server.
 const betterOfTwo = (pool: CandidatePool, random: Random): Choice => {
 	if (pool.servers.length === 0) {
 		return undefined;
@@ -138,26 +140,27 @@
 		: first;
 };
 
-// A warm prefix saves at most the work on the prompt; a server this much slower than its
-// neighbours costs more than that.
+// A cached prefix saves at most the prefill of the prompt; a server slower than the median by more than
+// this factor loses more time than that.
 const slowFactor = 6;
-const leastBound = 0.05;
-// How many servers a prefix may be warm on before its place is not worth seeking.
-const warmPlaces = 3;
+// Lower limit of the load bound, so that the bound stays above 0 while the servers are idle.
+const minimumBound = 0.05;
+// Number of servers, in rendezvous order, on which a prefix may be cached.
+const replicasPerPrefix = 3;
 
-const warmWithinBound = (
+const cachedWithinBound = (
 	pool: CandidatePool,
 	loadBound: number,
 	{prefixKey, random}: ChoiceContext,
 ): Choice => {
-	const bound = Math.max(loadBound * pool.meanUtilization, leastBound);
-	const slowest = pool.typicalFirstTokenMs * slowFactor;
-	for (const server of heaviest(pool.servers, prefixKey)) {
+	const bound = Math.max(loadBound * pool.meanUtilization, minimumBound);
+	const maximumFirstTokenMs = pool.typicalFirstTokenMs * slowFactor;
+	for (const server of highestWeights(pool.servers, prefixKey)) {
 		const candidate = pool.candidateFor(server);
 		if (
 			candidate &&
 			utilization(candidate) <= bound &&
-			candidate.expectedFirstTokenMs <= slowest
+			candidate.expectedFirstTokenMs <= maximumFirstTokenMs
 		) {
 			return candidate;
 		}
@@ -166,8 +169,8 @@
 	return betterOfTwo(pool, random);
 };
 
-// The first few servers of the rendezvous order, found without sorting all of them.
-const heaviest = (
+// Rendezvous hashing: returns the servers with the highest weights without sorting all of them.
+const highestWeights = (
 	servers: readonly BackendServer[],
 	prefixKey: string,
 ): readonly BackendServer[] => {
@@ -176,13 +179,13 @@
 		[];
 	for (const server of servers) {
 		const weight = weightOf(server.id);
-		if (!(top.length < warmPlaces || weight > top.at(-1)!.weight)) {
+		if (!(top.length < replicasPerPrefix || weight > top.at(-1)!.weight)) {
 			continue;
 		}
 
 		top.push({server, weight});
 		top.sort((left, right) => right.weight - left.weight);
-		top.length = Math.min(top.length, warmPlaces);
+		top.length = Math.min(top.length, replicasPerPrefix);
 	}
 
 	return top.map(({server}) => server);
--- a/src/routing/choose-zone.ts
+++ b/src/routing/choose-zone.ts
@@ -3,23 +3,23 @@
 import {utilization, type ZoneCandidate} from './candidates.ts';
 
 /**
-What a choice of zone depends on besides the candidates.
+Inputs of the choice of a zone besides the candidates.
 */
 export type ZoneContext = {
 	readonly turn: number;
 	readonly random: Random;
 	/**
-	Share of recent requests of this node that were sent away, from 0 to 1.
+	Share of this node's recent requests that were sent outside their home region, from 0 to 1.
 	*/
 	readonly awayShare: number;
 	/**
-	Whether requests are being sent away at present.
+	Whether the home zone is overflowing now.
 	*/
 	readonly isOverflowing: boolean;
 };
 
 /**
-Defaults of home-first placement, used by every strategy that does not set its own.
+Defaults of home-first placement for strategies that do not set their own values.
 */
 export const overflowDefaults = {
 	overflowAtLoad: 0.9,
@@ -28,12 +28,12 @@
 } as const;
 
 /**
-Overflow ends only once load has fallen this far below where it began.
+Overflow ends when utilization has fallen this far below `overflowAtLoad`; the hysteresis prevents flapping.
 */
 export const overflowHysteresis = 0.15;
 
 /**
-Chooses the availability zone that serves a request, or none if there are none.
+Chooses the availability zone that serves a request; returns undefined if there are no candidates.
 */
 export const chooseZone = (
 	strategy: Strategy,
@@ -46,7 +46,7 @@
 
 	switch (strategy.kind) {
 		case 'round-robin': {
-			return inTurn(candidates, context.turn);
+			return weightedRoundRobin(candidates, context.turn);
 		}
 
 		case 'least-loaded': {
@@ -77,7 +77,7 @@
 };
 
 /**
-Whether a zone counts as full, given whether overflow is already under way.
+Whether a zone counts as full; the threshold is lower while overflow is active.
 */
 export const isFull = (
 	zone: ZoneCandidate,
@@ -101,7 +101,7 @@
 	return best;
 };
 
-const inTurn = (
+const weightedRoundRobin = (
 	candidates: readonly ZoneCandidate[],
 	turn: number,
 ): ZoneCandidate => {
@@ -128,30 +128,32 @@
 ): ZoneCandidate => {
 	const home = nearest(candidates.filter(({isHome}) => isHome));
 	if (!home) {
-		return least(candidates, expected);
+		return least(candidates, expectedLatency);
 	}
 
 	const others = candidates.filter((zone) => zone !== home);
-	const roomy = others.filter(
+	const notFull = others.filter(
 		(zone) => !isFull(zone, overflow.overflowAtLoad, false),
 	);
-	const neighbour = roomy.filter(({isHome}) => isHome);
+	const inHomeRegion = notFull.filter(({isHome}) => isHome);
 	const isHomeFull = isFull(
 		home,
 		overflow.overflowAtLoad,
 		context.isOverflowing,
 	);
-	if (!isHomeFull || roomy.length === 0) {
+	if (!isHomeFull || notFull.length === 0) {
 		return home;
 	}
 
-	if (neighbour.length > 0) {
-		return sampleBetter(neighbour, context.random);
+	if (inHomeRegion.length > 0) {
+		return sampleBetter(inHomeRegion, context.random);
 	}
 
-	const away = sampleBetter(roomy, context.random);
-	const isWorthIt = doubtful(away) * overflow.advantage < expected(home);
-	return isWorthIt && context.awayShare < overflow.maximumAwayShare
+	const away = sampleBetter(notFull, context.random);
+	const isFaster =
+		confidenceAdjustedLatency(away) * overflow.advantage <
+		expectedLatency(home);
+	return isFaster && context.awayShare < overflow.maximumAwayShare
 		? away
 		: home;
 };
@@ -160,39 +162,40 @@
 	zones.find(({isLocal}) => isLocal) ??
 	(zones.length > 0 ? least(zones, utilization) : undefined);
 
-const expected = (zone: ZoneCandidate): number => zone.expectedFirstTokenMs;
+const expectedLatency = (zone: ZoneCandidate): number =>
+	zone.expectedFirstTokenMs;
 
-// What is known of another zone counts for less the older it is.
-const doubtful = (zone: ZoneCandidate): number =>
-	expected(zone) / Math.max(leastTrust, zone.trust);
+// Expected latency divided by the confidence, so that an older summary makes a zone look slower.
+const confidenceAdjustedLatency = (zone: ZoneCandidate): number =>
+	expectedLatency(zone) / Math.max(minimumTrust, zone.trust);
 
-const leastTrust = 0.1;
+const minimumTrust = 0.1;
 
-// Two at random, as for servers: all nodes of a busy zone see the same summary of a quiet one.
+// Power of two choices, as for servers, because all nodes of a full zone see the same summary of an idle one.
 const sampleBetter = (
 	zones: readonly ZoneCandidate[],
 	random: Random,
 ): ZoneCandidate => {
 	const first = zones[random.below(zones.length)]!;
 	const second = zones[random.below(zones.length)]!;
-	return expected(second) < expected(first) ? second : first;
+	return expectedLatency(second) < expectedLatency(first) ? second : first;
 };
 
-// Below this use a cheap zone takes whatever comes, above the upper end nothing; in between
-// it takes a falling share. A sharp edge would send all nodes there at once and away again,
-// for they all see the same summary, and late.
-const takesAllBelow = 0.5;
-const takesNoneFrom = 0.85;
+// Below the lower utilization a cheaper zone accepts every request, from the upper one on none; in
+// between the share falls linearly. A single threshold would cause oscillation, because all nodes act
+// on the same delayed summary.
+const acceptsAllBelow = 0.5;
+const acceptsNoneFrom = 0.85;
 
-const isTaking = (zone: ZoneCandidate, random: Random): boolean => {
+const isAccepting = (zone: ZoneCandidate, random: Random): boolean => {
 	const share =
-		(takesNoneFrom - utilization(zone)) / (takesNoneFrom - takesAllBelow);
+		(acceptsNoneFrom - utilization(zone)) / (acceptsNoneFrom - acceptsAllBelow);
 	return random.fraction() < share;
 };
 
-// A zone takes requests of others only while it is far from the objective itself; else its own
-// callers would be pushed out to dearer zones.
-const awayMargin = 0.5;
+// Fraction of the latency objective that a zone outside the home region must meet. Without this margin
+// the requests sent there would push that zone's own callers out to more expensive zones.
+const awayObjectiveFraction = 0.5;
 
 const cheapestWithin = (
 	candidates: readonly ZoneCandidate[],
@@ -205,13 +208,14 @@
 		.filter(
 			(zone) =>
 				zone.costPerThousandTokens < homeCost &&
-				doubtful(zone) <= objectiveMs * (zone.isHome ? 1 : awayMargin),
+				confidenceAdjustedLatency(zone) <=
+					objectiveMs * (zone.isHome ? 1 : awayObjectiveFraction),
 		)
 		.toSorted(
 			(left, right) => left.costPerThousandTokens - right.costPerThousandTokens,
 		);
 	return (
-		cheaper.find((zone) => isTaking(zone, context.random)) ??
+		cheaper.find((zone) => isAccepting(zone, context.random)) ??
 		homeFirst(candidates, overflowDefaults, context)
 	);
 };
--- a/src/routing/eligibility.ts
+++ b/src/routing/eligibility.ts
@@ -8,7 +8,7 @@
 import {isRegionAllowed, type Residency} from './residency.ts';
 
 /**
-What routing needs to know of a request.
+Properties of a request that routing depends on.
 */
 export type RouteQuery = {
 	readonly service: string;
@@ -17,7 +17,7 @@
 };
 
 /**
-Why a region or backend server is or is not a candidate.
+Whether a region or backend server is a candidate, and if not, why.
 */
 export type CandidateVerdict = {
 	readonly name: string;
@@ -31,7 +31,7 @@
 };
 
 /**
-The regions that residency and policy leave.
+Evaluates which regions residency and policy allow.
 */
 export const evaluateRegions = (
 	configuration: Configuration,
@@ -52,7 +52,7 @@
 	});
 
 /**
-What the verdicts on backend servers depend on.
+Inputs of `evaluateBackendServers`.
 */
 export type BackendServerQuery = {
 	readonly configuration: Configuration;
@@ -60,13 +60,13 @@
 	readonly service: string;
 
 	/**
-	Verdicts on the regions, as `judgeRegions` gives them.
+	Verdicts on the regions, as returned by `evaluateRegions`.
 	*/
 	readonly regions: readonly CandidateVerdict[];
 };
 
 /**
-The backend servers of one service that regions and policy leave.
+Evaluates which backend servers of a service regions and policy allow.
 */
 export const evaluateBackendServers = ({
 	configuration,
@@ -81,14 +81,14 @@
 	);
 	return configuration.backendServers.map((server) => {
 		const region = regionOfZone(configuration, server.availabilityZone);
-		const verdict = judgeBackendServer(server, policy, service);
-		const isRuledOut =
+		const verdict = evaluateBackendServer(server, policy, service);
+		const isRegionExcluded =
 			verdict === 'candidate' && (region === undefined || !allowed.has(region));
-		return {name: server.id, verdict: isRuledOut ? 'region' : verdict};
+		return {name: server.id, verdict: isRegionExcluded ? 'region' : verdict};
 	});
 };
 
-const judgeBackendServer = (
+const evaluateBackendServer = (
 	server: BackendServer,
 	policy: Policy,
 	service: string,
@@ -103,7 +103,7 @@
 };
 
 /**
-An availability zone with the backend servers there that may serve a request.
+An availability zone with its backend servers that may serve a request.
 */
 export type EligibleZone = {
 	readonly availabilityZone: string;
@@ -112,28 +112,28 @@
 };
 
 /**
- Answers which zones and servers are eligible for a service under a policy.
+ Creates a lookup of the zones and servers that are eligible for a service under a policy.
  
- The answer depends on the configuration alone, so it is worked out once for each
- pair of policy and service and kept until the configuration changes.
+ The result depends only on the configuration, so it is computed once per pair of policy
+ and service and cached; a new configuration needs a new lookup.
  */
 export const createEligibility = (configuration: Configuration) => {
-	const kept = new Map<string, readonly EligibleZone[]>();
+	const cache = new Map<string, readonly EligibleZone[]>();
 	return (policy: Policy, service: string): readonly EligibleZone[] => {
 		const key = `${policy.name}\u{0}${service}`;
-		const known = kept.get(key);
-		if (known) {
-			return known;
+		const cached = cache.get(key);
+		if (cached) {
+			return cached;
 		}
 
 		const zones = eligibleZones(configuration, policy, service);
-		kept.set(key, zones);
+		cache.set(key, zones);
 		return zones;
 	};
 };
 
 /**
-Looks up eligible zones; made by `createEligibility`.
+Lookup of eligible zones, created by `createEligibility`.
 */
 export type Eligibility = ReturnType<typeof createEligibility>;
 
@@ -151,7 +151,7 @@
 				backendServers: configuration.backendServers.filter(
 					(server) =>
 						server.availabilityZone === availabilityZone &&
-						judgeBackendServer(server, policy, service) === 'candidate',
+						evaluateBackendServer(server, policy, service) === 'candidate',
 				),
 			})),
 		)
--- a/src/routing/residency.ts
+++ b/src/routing/residency.ts
@@ -3,18 +3,18 @@
 import {createGatewayError, type GatewayError} from '../errors/index.ts';
 
 /**
-Where a request may be served.
+Regions in which a request may be served.
 */
 export type Residency =
 	| {readonly kind: 'anywhere'}
 	| {readonly kind: 'regions'; readonly regions: readonly string[]};
 
 /**
-What a request and its client state about residency.
+Residency requirements of a request and its client account.
 */
 export type ResidencyClaim = {
 	/**
-	Regions named by the request; undefined where it names none.
+	Regions that the request names; undefined if it has no residency header.
 	*/
 	readonly requested: readonly string[] | undefined;
 	readonly client: Pick<Client, 'name' | 'residency' | 'residencyRequired'>;
@@ -23,9 +23,9 @@
 declare const clearedBrand: unique symbol;
 
 /**
- Proof that a send to a region passed the residency guard.
+ Proof that a request passed the residency guard for a region.
  
- Every function that sends a request asks for one, and only `guardResidency` makes one.
+ Every function that sends a request requires one, and only `guardResidency` creates it.
  */
 export type ClearedRegion = {
 	readonly region: string;
@@ -33,9 +33,9 @@
 };
 
 /**
- Works out where a request may be served; anything unclear fails closed.
+ Resolves the regions in which a request may be served; an invalid claim fails closed.
  
- The request can narrow what its client account allows, never widen it.
+ The request can narrow the regions that its client account allows, but not extend them.
  */
 export const resolveResidency = (
 	claim: ResidencyClaim,
@@ -108,10 +108,10 @@
 };
 
 /**
- The guard that every send passes, at the origin and again at a receiving node.
+ Residency guard of every send, at the origin and again at a receiving node.
  
- It resolves the claim anew with the configuration of the moment, so that a request
- which waited, or came from a node with another version, is judged by what is in force here.
+ It resolves the claim against the current configuration, so that the rules in force here apply
+ to a request that waited or that came from a node with another configuration version.
  */
 export const guardResidency = (
 	claim: ResidencyClaim,
--- a/tests/routing/residency.test.ts
+++ b/tests/routing/residency.test.ts
@@ -7,7 +7,7 @@
 const configuration = exampleConfiguration();
 const regionNames = configuration.regions.map(({name}) => name);
 
-test('a request narrows what its client allows and never widens it', () => {
+test('a request can narrow the regions that its client allows, but not extend them', () => {
 	const client = {
 		name: 'c',
 		residency: ['abuja', 'ibadan'],
@@ -26,7 +26,7 @@
 	);
 });
 
-test('a client that must state a residency and does not is refused', () => {
+test('a request without a residency is refused if its client requires one', () => {
 	const client = {name: 'c', residency: undefined, residencyRequired: true};
 	assert.ok(
 		resolveResidency({requested: undefined, client}, configuration).isErr,
@@ -36,7 +36,7 @@
 	);
 });
 
-test('whatever is claimed, the guard clears only regions that both request and client allow', () => {
+test('for any claim, the guard allows only regions that both request and client allow', () => {
 	const names = fc.constantFrom(...regionNames, 'unknown', '');
 	const list = fc.option(fc.array(names, {maxLength: 4}), {nil: undefined});
 	fc.assert(
--- a/tests/routing/strategies.test.ts
+++ b/tests/routing/strategies.test.ts
@@ -89,7 +89,7 @@
 	},
 ];
 
-test('every strategy chooses one of its candidates, and none where there is none', () => {
+test('every strategy chooses one of its candidates, or none if there are none', () => {
 	const candidate = fc.record({
 		load: fc.integer({min: 0, max: 200}),
 		slots: fc.integer({min: 1, max: 100}),
@@ -120,7 +120,7 @@
 	);
 });
 
-test('round robin takes turns', () => {
+test('round robin chooses the servers in order', () => {
 	const candidates = ['a', 'b', 'c'].map((id) => server(id));
 	const chosen = [0, 1, 2, 3].map(
 		(turn) =>
@@ -133,7 +133,7 @@
 	assert.deepEqual(chosen, ['a', 'b', 'c', 'a']);
 });
 
-test('power of two choices avoids a server that is slow or full', () => {
+test('power of two choices avoids slow and full servers', () => {
 	const candidates = [
 		server('a'),
 		server('slow', {expectedFirstTokenMs: 300}),
@@ -161,24 +161,28 @@
 	);
 });
 
-test('prefix affinity sends one prefix to one server until that one is above the bound', () => {
+test('prefix affinity sends a prefix to one server until its load exceeds the bound', () => {
 	const strategy = {kind: 'prefix-affinity', loadBound: 1.5} as const;
 	const candidates = ['a', 'b', 'c', 'd'].map((id) => server(id, {load: 10}));
-	const warm = chooseBackendServer(strategy, poolOf(candidates), contextAt(0))!;
+	const preferred = chooseBackendServer(
+		strategy,
+		poolOf(candidates),
+		contextAt(0),
+	)!;
 	assert.equal(
 		chooseBackendServer(strategy, poolOf(candidates), contextAt(1))!.id,
-		warm.id,
+		preferred.id,
 	);
 	const loaded = candidates.map((candidate) =>
-		candidate.id === warm.id ? {...candidate, load: 60} : candidate,
+		candidate.id === preferred.id ? {...candidate, load: 60} : candidate,
 	);
 	assert.notEqual(
 		chooseBackendServer(strategy, poolOf(loaded), contextAt(2))!.id,
-		warm.id,
+		preferred.id,
 	);
 });
 
-test('cheapest takes the lowest cost among those that are fast enough', () => {
+test('cheapest chooses the lowest cost among the servers within the latency objective', () => {
 	const strategy = {kind: 'cheapest', firstTokenObjectiveMs: 50} as const;
 	const candidates = [
 		server('dear', {costPerThousandTokens: 3}),
@@ -200,7 +204,7 @@
 	advantage: 1.5,
 	maximumAwayShare: 0.5,
 } as const;
-const calm = {
+const noOverflow = {
 	turn: 0,
 	random: fixedRandom(),
 	awayShare: 0,
@@ -212,44 +216,48 @@
 	expectedFirstTokenMs: 30,
 });
 
-test('home first stays at home while there is room', () => {
+test('home first stays in the home region while that has capacity', () => {
 	assert.equal(
 		chooseZone(
 			homeFirst,
 			[zone('away', {expectedFirstTokenMs: 1}), home],
-			calm,
+			noOverflow,
 		)!.region,
 		'home',
 	);
 });
 
-test('home first overflows only where it is full, away is better by the advantage, and the share allows it', () => {
+test('home first overflows only if home is full, the other zone is faster by the advantage and the away share is below its maximum', () => {
 	const full = {...home, load: 95, expectedFirstTokenMs: 400};
 	const away = zone('away', {expectedFirstTokenMs: 100});
-	assert.equal(chooseZone(homeFirst, [full, away], calm)!.region, 'away');
+	assert.equal(chooseZone(homeFirst, [full, away], noOverflow)!.region, 'away');
 	assert.equal(
-		chooseZone(homeFirst, [full, {...away, expectedFirstTokenMs: 300}], calm)!
-			.region,
+		chooseZone(
+			homeFirst,
+			[full, {...away, expectedFirstTokenMs: 300}],
+			noOverflow,
+		)!.region,
 		'home',
 	);
 	assert.equal(
-		chooseZone(homeFirst, [full, {...away, load: 95}], calm)!.region,
+		chooseZone(homeFirst, [full, {...away, load: 95}], noOverflow)!.region,
 		'home',
 	);
 	assert.equal(
-		chooseZone(homeFirst, [full, away], {...calm, awayShare: 0.6})!.region,
+		chooseZone(homeFirst, [full, away], {...noOverflow, awayShare: 0.6})!
+			.region,
 		'home',
 	);
 });
 
-test('overflow ends lower than it begins', () => {
+test('overflow ends at a lower load than it begins', () => {
 	const zoneAt = (load: number) => ({...home, load});
 	assert.ok(!isFull(zoneAt(85), 0.9, false));
 	assert.ok(isFull(zoneAt(85), 0.9, true));
 	assert.ok(!isFull(zoneAt(100 * (0.9 - overflowHysteresis) - 1), 0.9, true));
 });
 
-test('a zone of the home region goes before other regions', () => {
+test('another zone of the home region is preferred to other regions', () => {
 	const full = {...home, load: 100, expectedFirstTokenMs: 900};
 	const neighbour = zone('home', {
 		availabilityZone: 'home-b',
@@ -260,23 +268,23 @@
 		chooseZone(
 			homeFirst,
 			[full, zone('away', {expectedFirstTokenMs: 1}), neighbour],
-			calm,
+			noOverflow,
 		)!.availabilityZone,
 		'home-b',
 	);
 });
 
-test('cheapest never sends a request to a zone that is dearer than home while home has room', () => {
-	const dear = zone('dear', {
+test('cheapest never chooses a zone that costs more than home while home has capacity', () => {
+	const expensive = zone('dear', {
 		costPerThousandTokens: 2,
 		expectedFirstTokenMs: 1,
 	});
 	const busyHome = {...home, load: 80, costPerThousandTokens: 1};
 	for (let turn = 0; turn < 50; turn += 1) {
-		const context = {...calm, turn, random: fixedRandom()};
+		const context = {...noOverflow, turn, random: fixedRandom()};
 		const chosen = chooseZone(
 			{kind: 'cheapest', firstTokenObjectiveMs: 400},
-			[busyHome, dear],
+			[busyHome, expensive],
 			context,
 		);
 		assert.equal(chosen!.region, 'home');
