--- a/src/fleet/fleet-event.ts
+++ b/src/fleet/fleet-event.ts
@@ -8,7 +8,7 @@
 	readonly queued: number;
 	readonly slots: number;
 	/**
-	Names the engine process; a restart changes it.
+	Identifies the engine process; a restart changes it.
 	*/
 	readonly incarnation: string;
 };
@@ -20,7 +20,7 @@
 	'answered' | 'refused' | 'unreachable' | 'failed' | 'canceled';
 
 /**
-Something that changes what is known of the backend servers.
+Event that changes the state of the backend servers.
 */
 export type FleetEvent =
 	| {
@@ -32,7 +32,7 @@
 			readonly backendServer: string;
 			readonly report: LoadReport;
 			/**
-			When the report was true, by the clock of this node.
+			When the server made the report, by the clock of this node.
 			*/
 			readonly observedAt: number;
 	  }
@@ -48,7 +48,7 @@
 			readonly incarnation: string;
 	  }
 	/**
-	The server asked this node to send nothing until a time.
+	The server asked this node to send no requests until the given time.
 	*/
 	| {
 			readonly kind: 'resting';
@@ -67,7 +67,10 @@
 			readonly end: AttemptEnd;
 	  }
 	/**
-	The backend servers that have named limits.
+	The backend servers that have announced rate limits.
 	*/
 	| {readonly kind: 'limited'; readonly backendServers: ReadonlySet<string>}
+	/**
+	The process has resumed after a pause.
+	*/
 	| {readonly kind: 'woken'};
--- a/src/fleet/fleet-parameters.ts
+++ b/src/fleet/fleet-parameters.ts
@@ -1,9 +1,9 @@
 /**
-Bounds of the fleet's estimates, in milliseconds unless said otherwise.
+Parameters of the fleet's load and latency estimates.
 */
 export type FleetParameters = {
 	/**
-	After this long a load report counts for about a third.
+	Time after which the weight of a load report has fallen to 1/e, about a third.
 	*/
 	readonly reportDecayMs: number;
 	readonly failuresToEject: number;
@@ -12,18 +12,18 @@
 	readonly slowStartMs: number;
 	readonly initialFirstTokenMs: number;
 	/**
-	Share of slots beyond which this node sends nothing more to a server.
+	Requests that may queue at a server, as a fraction of its slots; beyond them this node sends it no more.
 	*/
 	readonly queueAllowance: number;
 
 	/**
-	How long sums over many servers are used again.
+	How long capacities summed over many servers are cached.
 	*/
 	readonly capacityCacheMs: number;
 };
 
 /**
-Parameters in use unless a test states others.
+Values that apply unless a caller of `createFleet` passes others.
 */
 export const defaultFleetParameters: FleetParameters = {
 	reportDecayMs: 1000,
--- a/src/fleet/fleet-row.ts
+++ b/src/fleet/fleet-row.ts
@@ -3,14 +3,14 @@
 import type {FleetParameters} from './fleet-parameters.ts';
 
 /**
-What a node keeps of one backend server.
+State that a node keeps for one backend server.
 */
 export type Row = {
 	readonly server: BackendServer;
 	report: LoadReport | undefined;
 	reportedAt: number;
 	/**
-	Own requests in flight when the report was true.
+	This node's requests in flight at the time of the report.
 	*/
 	inFlightAtReport: number;
 	inFlight: number;
@@ -21,32 +21,32 @@
 	ejections: number;
 	ejectedUntil: number;
 	/**
-	Until when the present process asked this node to send nothing.
+	Time until which the server's current process asked this node to send no requests.
 	*/
 	backoffUntil: number;
 	availableSince: number;
 	incarnation: string | undefined;
 	/**
-	Whether it has named a limit.
+	Whether the server has announced a rate limit.
 	*/
 	isLimited: boolean;
 	readonly leavingIncarnations: Set<string>;
 };
 
 /**
-Stands for any process, in announcements of sources that name none.
+Matches any process; used in announcements from sources that do not identify the process.
 */
 export const anyIncarnation = '*';
 
 /**
-Stands for the process that was there before its first report named it.
+Identifies the process that ran before the first load report named one.
 */
 export const unnamedIncarnation = '';
 
-const lowestWeight = 0.05;
+const minimumWeight = 0.05;
 
 /**
-Takes in a load report, unless a later one is known.
+Applies a load report unless a later one is known.
 */
 export const applyReport = (
 	row: Row,
@@ -80,31 +80,31 @@
 };
 
 /**
-The requests that a server has, from its report and from what this node and others have under way.
-The older the report, the less it counts.
+Estimates the requests at a server from its load report and from the requests that this node and
+other nodes have in flight. The weight of the report decreases with its age.
 */
 export const estimateLoad = (
 	row: Row,
 	parameters: FleetParameters,
 	now: number,
 ): number => {
-	const known = row.inFlight + row.peerInFlight;
+	const knownInFlight = row.inFlight + row.peerInFlight;
 	if (!row.report) {
-		return known;
+		return knownInFlight;
 	}
 
-	const trust = Math.exp(
+	const reportWeight = Math.exp(
 		-Math.max(0, now - row.reportedAt) / parameters.reportDecayMs,
 	);
 	const sinceReport = Math.max(0, row.inFlight - row.inFlightAtReport);
 	return Math.max(
-		known,
-		(row.report.running + row.report.queued) * trust + sinceReport,
+		knownInFlight,
+		(row.report.running + row.report.queued) * reportWeight + sinceReport,
 	);
 };
 
 /**
-The part of a full share that a server is given while it warms up, up to 1.
+Slow-start weight of a server: its fraction of a full share of requests, up to 1.
 */
 export const weightOf = (
 	row: Row,
@@ -113,11 +113,14 @@
 ): number =>
 	Math.min(
 		1,
-		Math.max(lowestWeight, (now - row.availableSince) / parameters.slowStartMs),
+		Math.max(
+			minimumWeight,
+			(now - row.availableSince) / parameters.slowStartMs,
+		),
 	);
 
 /**
-Whether the server's present process has announced its shutdown.
+Whether the server's current process has announced its shutdown.
 */
 export const isLeavingRow = (row: Row): boolean =>
 	row.leavingIncarnations.has(anyIncarnation) ||
--- a/src/fleet/fleet-state.ts
+++ b/src/fleet/fleet-state.ts
@@ -1,5 +1,5 @@
 /**
-What is known of one backend server, for operators.
+State of one backend server, for operators.
 */
 export type BackendServerState = {
 	readonly id: string;
@@ -20,17 +20,17 @@
 };
 
 /**
-Load and speed of several servers together.
+Aggregate load and latency of several servers.
 */
 export type FleetCapacity = {
 	readonly load: number;
 	readonly slots: number;
 	/**
-	Mean over the servers, weighted by their slots, in milliseconds.
+	Mean time to the first token, weighted by slots, in milliseconds.
 	*/
 	readonly firstTokenMs: number;
 	/**
-	Median over the servers, which one slow server does not move.
+	Median time to the first token, in milliseconds; unlike the mean, robust against one slow server.
 	*/
 	readonly typicalFirstTokenMs: number;
 	readonly costPerThousandTokens: number;
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -17,61 +17,62 @@
 import type {BackendServerState, FleetCapacity} from './fleet-state.ts';
 
 /**
-What this node knows of the backend servers of its own zone.
+State of the backend servers in this node's zone.
 */
 export type Fleet = {
 	handle(event: FleetEvent, now: number): void;
 	/**
-	A server as a candidate, or undefined where it may not be given work now.
+	Returns a server as a candidate, or undefined if no request may be sent to it now.
 	*/
 	candidate(
 		backendServer: string,
 		now: number,
 	): BackendServerCandidate | undefined;
 	/**
-	Load and speed of the given servers together; those leaving or ejected are left out.
+	Aggregate load and latency of the given servers, without those in shutdown, ejection or backoff.
 	*/
 	capacity(
 		backendServers: readonly BackendServer[],
 		now: number,
 	): FleetCapacity;
 	/**
-	Requests of this node in flight, by backend server; servers without any are left out.
+	This node's requests in flight by backend server; servers without any are omitted.
 	*/
 	inFlight(): Readonly<Record<string, number>>;
 	/**
-	Load and speed as other zones are told: a server that rests for this node has no room, but it is there.
+	Aggregate load and latency to announce to other zones; a server in backoff is included, but counts as full.
 	*/
 	summary(backendServers: readonly BackendServer[], now: number): FleetCapacity;
 	/**
-	Milliseconds until this node may send anything to a server; 0 where it may now.
+	Milliseconds until the backoff of a server ends; 0 if it is not in backoff.
 	*/
 	backoffRemainingMs(backendServer: string, now: number): number;
 	states(now: number): readonly BackendServerState[];
 	/**
-	The engine process last heard of, if any.
+	Incarnation of the latest known engine process, or undefined if none is known.
 	*/
 	incarnationOf(backendServer: string): string | undefined;
 	isLeaving(backendServer: string): boolean;
 };
 
-type Sum = {
+type CachedCapacity = {
 	readonly capacity: FleetCapacity;
 	readonly at: number;
 	readonly generation: number;
 };
 
-const smoothing = 0.2;
+// Weight of one sample in the moving average of the time to the first token.
+const firstTokenSmoothing = 0.2;
 
 /**
-Builds a fleet without servers; `configured` brings them.
+Creates a fleet without servers; the event `configured` adds them.
 */
 export const createFleet = (
 	parameters: FleetParameters = defaultFleetParameters,
 ): Fleet => {
 	let rows = new Map<string, Row>();
-	const sums = new WeakMap<readonly BackendServer[], Sum>();
-	// Raised by events after which sums must not be used any longer.
+	const capacities = new WeakMap<readonly BackendServer[], CachedCapacity>();
+	// Incremented by events that invalidate cached capacities.
 	let generation = 0;
 
 	const createRow = (server: BackendServer, availableSince: number): Row => ({
@@ -100,7 +101,7 @@
 			servers.map((server) => {
 				const known = rows.get(server.id);
 				const isSame = known?.server.address === server.address;
-				// Servers of a node's first configuration are taken as warm, later ones ramp up.
+				// Servers of a node's first configuration are assumed to be warm; later ones go through slow start.
 				const since = isFirst ? now - parameters.slowStartMs : now;
 				return [
 					server.id,
@@ -113,7 +114,7 @@
 	const markLeaving = (row: Row, incarnation: string) => {
 		generation += 1;
 		row.leavingIncarnations.add(incarnation);
-		// An announcement may arrive before the first report of the process that it names.
+		// An announcement can arrive before the first load report of the process that it names.
 		row.incarnation ??=
 			incarnation === anyIncarnation ? undefined : incarnation;
 	};
@@ -158,11 +159,14 @@
 		generation += 1;
 		row.ejectedUntil = now + Math.min(duration, parameters.maximumEjectionMs);
 		row.ejections += 1;
-		// One further failure after the pause sets the server aside again.
+		// A single failure after the ejection ejects the server again.
 		row.failures = parameters.failuresToEject - 1;
 	};
 
-	const takePeer = (node: string, counts: Readonly<Record<string, number>>) => {
+	const applyPeerInFlight = (
+		node: string,
+		counts: Readonly<Record<string, number>>,
+	) => {
 		for (const [id, row] of rows) {
 			const count = counts[id] ?? 0;
 			row.peerInFlight += count - (row.peers.get(node) ?? 0);
@@ -174,8 +178,8 @@
 		}
 	};
 
-	// After a pause everything known is old: only what is heard from now on counts.
-	const wake = () => {
+	// After a pause of the process all reports are stale, so they are discarded.
+	const discardReports = () => {
 		generation += 1;
 		for (const row of rows.values()) {
 			row.report = undefined;
@@ -191,20 +195,20 @@
 		}
 	};
 
-	// A server returns from its rest as one that has just started: requests that were held back do not arrive all at once.
-	const rest = (row: Row, until: number) => {
+	// A server returns from backoff with slow start, so that the requests held back do not arrive all at once.
+	const applyBackoff = (row: Row, until: number) => {
 		generation += 1;
 		row.backoffUntil = Math.max(row.backoffUntil, until);
 		row.availableSince = Math.max(row.availableSince, row.backoffUntil);
 	};
 
-	const isThere = (row: Row, now: number): boolean =>
+	const isAvailable = (row: Row, now: number): boolean =>
 		!isLeavingRow(row) && row.ejectedUntil <= now;
 
 	const isUsable = (row: Row, now: number): boolean =>
-		isThere(row, now) && row.backoffUntil <= now;
+		isAvailable(row, now) && row.backoffUntil <= now;
 
-	const sumUp = (
+	const aggregate = (
 		servers: readonly BackendServer[],
 		now: number,
 		isCounted: (row: Row, now: number) => boolean,
@@ -220,10 +224,12 @@
 				continue;
 			}
 
-			const held = estimateLoad(row, parameters, now);
-			// A limited or resting server has no room to offer to other zones.
-			const isUsedUp = row.isLimited || row.backoffUntil > now;
-			load += isUsedUp ? Math.max(held, row.server.slots) : held;
+			const estimatedLoad = estimateLoad(row, parameters, now);
+			// A server with a rate limit or in backoff has no capacity to offer to other zones.
+			const isFull = row.isLimited || row.backoffUntil > now;
+			load += isFull
+				? Math.max(estimatedLoad, row.server.slots)
+				: estimatedLoad;
 			slots += row.server.slots;
 			weightedFirstToken += row.firstTokenMs * row.server.slots;
 			weightedCost += row.server.costPerThousandTokens * row.server.slots;
@@ -239,12 +245,12 @@
 		};
 	};
 
-	// Sums over all servers are needed for each request and hardly change between two.
+	// Every request needs the capacity over all servers, which hardly changes between two requests.
 	const capacityOf = (
 		servers: readonly BackendServer[],
 		now: number,
 	): FleetCapacity => {
-		const known = sums.get(servers);
+		const known = capacities.get(servers);
 		if (
 			known?.generation === generation &&
 			now - known.at < parameters.capacityCacheMs
@@ -252,8 +258,8 @@
 			return known.capacity;
 		}
 
-		const capacity = sumUp(servers, now, isUsable);
-		sums.set(servers, {capacity, at: now, generation});
+		const capacity = aggregate(servers, now, isUsable);
+		capacities.set(servers, {capacity, at: now, generation});
 		return capacity;
 	};
 
@@ -296,12 +302,12 @@
 			}
 
 			case 'peer-in-flight': {
-				takePeer(event.node, event.counts);
+				applyPeerInFlight(event.node, event.counts);
 				return;
 			}
 
 			case 'peer-gone': {
-				takePeer(event.node, {});
+				applyPeerInFlight(event.node, {});
 				return;
 			}
 
@@ -314,7 +320,7 @@
 
 			case 'resting': {
 				withRow(event.backendServer, (row) => {
-					rest(row, event.until);
+					applyBackoff(row, event.until);
 				});
 				return;
 			}
@@ -328,7 +334,8 @@
 
 			case 'first-token': {
 				withRow(event.backendServer, (row) => {
-					row.firstTokenMs += smoothing * (event.elapsedMs - row.firstTokenMs);
+					row.firstTokenMs +=
+						firstTokenSmoothing * (event.elapsedMs - row.firstTokenMs);
 				});
 				return;
 			}
@@ -350,7 +357,7 @@
 			}
 
 			case 'woken': {
-				wake();
+				discardReports();
 				return;
 			}
 
@@ -382,7 +389,7 @@
 			return row && toCandidate(row, now);
 		},
 		capacity: capacityOf,
-		summary: (servers, now) => sumUp(servers, now, isThere),
+		summary: (servers, now) => aggregate(servers, now, isAvailable),
 		backoffRemainingMs: (id, now) =>
 			Math.max(0, (rows.get(id)?.backoffUntil ?? 0) - now),
 		inFlight: () =>
@@ -405,7 +412,7 @@
 	};
 };
 
-// The lower median: of two servers the faster one is the typical one.
+// Lower median: of two servers, the faster one is typical.
 const medianOf = (values: number[]): number =>
 	values.toSorted((left, right) => left - right)[
 		Math.floor((values.length - 1) / 2)
--- a/tests/fleet/fleet.test.ts
+++ b/tests/fleet/fleet.test.ts
@@ -42,7 +42,7 @@
 const loadOf = (fleet: ReturnType<typeof create>, now: number) =>
 	fleet.states(now).find(({id}) => id === 'x')!.load;
 
-test('the load is the report plus what was sent since, and at least what is known to be in flight', () => {
+test('the load is the report plus the requests sent since, and at least the requests known to be in flight', () => {
 	const fleet = create();
 	fleet.handle(
 		{
@@ -61,7 +61,7 @@
 	assert.equal(loadOf(fleet, 0), 5);
 });
 
-test('trust in a report falls with its age', () => {
+test('the weight of a report decreases with its age', () => {
 	const fleet = create();
 	fleet.handle(
 		{
@@ -75,7 +75,7 @@
 	assert.ok(loadOf(fleet, defaultFleetParameters.reportDecayMs) < 3.5);
 });
 
-test('a server that is leaving takes no work, whatever reports follow, until a new process is there', () => {
+test('a server in shutdown is no candidate, whatever reports follow, until a new process reports', () => {
 	const fleet = create();
 	fleet.handle(
 		{
@@ -109,7 +109,7 @@
 	assert.deepEqual(idsOf(fleet, 5), ['x', 'y']);
 });
 
-test('a leaving word that comes before the first report holds', () => {
+test('a shutdown announced before the first report takes effect', () => {
 	const fleet = create();
 	fleet.handle({kind: 'leaving', backendServer: 'x', incarnation: 'one'}, 0);
 	assert.deepEqual(idsOf(fleet, 1), ['y']);
@@ -130,7 +130,7 @@
 	assert.deepEqual(idsOf(other, 2), ['y']);
 });
 
-test('a server that fails again and again is set aside, longer each time, and returns slowly', () => {
+test('a server that fails repeatedly is ejected, longer each time, and returns with slow start', () => {
 	const fleet = create();
 	const fail = (now: number) => {
 		fleet.handle({kind: 'attempt-started', backendServer: 'x'}, now);
@@ -158,7 +158,7 @@
 	assert.equal(fleet.candidate('x', 200_000)!.weight, 1);
 });
 
-test('a full server is no candidate', () => {
+test('a full server is not a candidate', () => {
 	const fleet = create();
 	fleet.handle(
 		{
@@ -172,7 +172,7 @@
 	assert.deepEqual(idsOf(fleet, 0), ['y']);
 });
 
-test('in any order of events a server marked as leaving is never a candidate under the same process', () => {
+test('in any order of events, a server in shutdown is never a candidate with the same process', () => {
 	const event: fc.Arbitrary<FleetEvent> = fc.oneof(
 		fc.constant({kind: 'woken'} as const),
 		fc.constant({kind: 'attempt-started', backendServer: 'x'} as const),
@@ -211,7 +211,7 @@
 	);
 });
 
-test('of two servers the faster one sets what is typical, so that a slow one stands out', () => {
+test('the typical time to the first token of two servers is that of the faster one', () => {
 	const fleet = create();
 	for (let count = 0; count < 50; count += 1) {
 		fleet.handle({kind: 'first-token', backendServer: 'y', elapsedMs: 3000}, 0);
@@ -220,7 +220,7 @@
 	assert.ok(fleet.capacity(servers, 1000).typicalFirstTokenMs < 100);
 });
 
-test('a resting server is no candidate until its rest is over, and then returns slowly', () => {
+test('a server in backoff is no candidate until the backoff ends, and then returns with slow start', () => {
 	const fleet = create();
 	fleet.handle({kind: 'resting', backendServer: 'x', until: 3000}, 0);
 	fleet.handle({kind: 'resting', backendServer: 'x', until: 1000}, 100);
@@ -230,7 +230,7 @@
 	assert.ok(fleet.candidate('x', 3000)!.weight < 0.1);
 });
 
-test('other zones are told that a resting server has no room, not that it has gone', () => {
+test('the summary for other zones counts a server in backoff as full, not as missing', () => {
 	const fleet = create();
 	fleet.handle({kind: 'resting', backendServer: 'x', until: 3000}, 0);
 	assert.equal(fleet.capacity(servers, 0).slots, 10);
@@ -238,7 +238,7 @@
 	assert.deepEqual([slots, load], [20, 10]);
 });
 
-test('a rest ends with the process that asked for it', () => {
+test('a backoff ends with the process that asked for it', () => {
 	const fleet = create();
 	const reported = (incarnation: string, observedAt: number): FleetEvent => ({
 		kind: 'load-reported',
@@ -254,7 +254,7 @@
 	assert.deepEqual(idsOf(fleet, 200), ['x', 'y']);
 });
 
-test('a shutdown announced before the first load report holds for the process that the report names', () => {
+test('a shutdown announced before the first load report applies to the process that the report names', () => {
 	const fleet = create();
 	fleet.handle(
 		{kind: 'leaving', backendServer: 'x', incarnation: unnamedIncarnation},
