--- a/src/requests/attempts.ts
+++ b/src/requests/attempts.ts
@@ -114,7 +114,7 @@
 const smallestAttemptMs = 500;
 
 /**
-Creates the attempt runner.
+Creates the functions that make attempts.
 */
 export const createAttempts = (options: AttemptOptions): Attempts => {
 	const {clock, fleet} = options;
--- a/src/requests/event-stream.ts
+++ b/src/requests/event-stream.ts
@@ -110,7 +110,7 @@
 			) {
 				const piece = readEvent(pending.slice(start, end));
 				if (piece.kind === 'fault') {
-					// The events before the fault are valid and already counted as delivered, so they are returned first.
+					// The events before the fault are valid and counted as delivered, so they are returned first.
 					return text === '' ? piece : rememberFault(text, tokens);
 				}
 
--- a/src/requests/request-executor.ts
+++ b/src/requests/request-executor.ts
@@ -209,7 +209,7 @@
 		}
 
 		if (target.value.kind === 'peer') {
-			// The chooser returns no peer for a forwarded request; this check prevents a second hop all the same.
+			// Unreachable as long as the chooser returns no peer for a forwarded request; guards against a second hop.
 			return Result.err(
 				createGatewayError(
 					'hop-refused',
--- a/src/requests/target-choice.ts
+++ b/src/requests/target-choice.ts
@@ -83,7 +83,8 @@
 };
 
 /**
-Chooses targets. Its state is limited to the round-robin position, the away share and the overflow flag.
+Chooses targets. It keeps no data about single requests, only the round-robin position, the away share, the overflow flag
+and a cache of eligible zones.
 */
 export type TargetChooser = {
 	choose(
