--- a/src/backends/backend-attempt.ts
+++ b/src/backends/backend-attempt.ts
@@ -9,125 +9,126 @@
 export const attemptEnds = [
 	'answered',
 	/**
-	It answered with a fault, broke off, or never answered.
+	The server returned an error, broke off its response, or did not respond.
 	*/
 	'failed',
 	/**
-	It stated that the request did not run.
+	The server stated that it did not run the request.
 	*/
 	'refused',
 	/**
-	This node gave it up for a reason that says nothing of the server.
+	This node canceled the attempt for a reason that is unrelated to the server.
 	*/
 	'abandoned',
 ] as const;
 
 /**
-One of the ends of an attempt.
+The way in which one attempt ended.
 */
 export type BackendAttemptEnd = (typeof attemptEnds)[number];
 
 /**
-A request under way at a backend server.
+A request in flight at a backend server.
 */
 export type BackendAttempt = {
 	readonly server: string;
 	/**
-	To be called with each sign of life from the server.
+	Must be called whenever the server sends anything.
 	*/
 	recordActivity(now: number): void;
 	/**
-	To be called with what the server says of its load.
+	Must be called with each load that the server states.
 	*/
 	recordStatedLoad(load: StatedLoad, now: number): void;
 	/**
-	To be called with each piece of a stream but the first, and the time since the one before.
+	Must be called for each chunk of a stream except the first, with the time since the previous chunk.
 	*/
 	recordChunkInterval(intervalMs: number, now: number): void;
 	/**
-	To be called when the first event or the answer is there.
+	Must be called when the first event of a stream or the complete response arrives.
 	*/
 	recordFirstEvent(now: number): void;
 	end(how: BackendAttemptEnd, now: number): void;
 };
 
 /**
-Tells the other nodes of the region how many tokens of this node's long prompts a server has still to read.
+Broadcasts to the other nodes of the region how many tokens of this node's long prompts a server has not processed yet.
 */
 export type PrefillBacklogSender = (server: string, tokens: number) => void;
 
 /**
-What attempts are counted with.
+Dependencies of an attempt.
 */
 export type AttemptOptions = {
 	readonly sendPrefillBacklog: PrefillBacklogSender;
 	/**
-	Whether a server is known to keep a prompt part in its memory.
+	Whether a server is known to hold a prompt part in its cache.
 	*/
 	readonly isCached: (server: string, part: string) => boolean;
 	readonly backendLimits: Pick<BackendLimits, 'recordSend'>;
 };
 
 /**
-A prompt with fewer tokens to read is not told: it delays the requests behind it by some tens of milliseconds, and there
-are many of them.
+Minimum number of unprocessed tokens of a prompt for which the backlog is broadcast. Shorter prompts are frequent and delay
+the requests behind them by only some tens of milliseconds.
 */
 export const minimumBroadcastTokens = 2500;
 
-// Weight of one more outcome in a server's failure rate.
+// Weight of the latest outcome in the moving average of a server's failure rate.
 const failureWeight = 0.1;
 
-// Weight of one more piece in a server's pace: with fifty streams under way it follows within a second.
-const paceWeight = 0.02;
+// Weight of the latest chunk in the moving average of a server's chunk interval. With 50 streams in flight, the average
+// follows a change within a second.
+const chunkIntervalWeight = 0.02;
 
-// Requests to a cold server that are remembered before the latest one.
-const keptColdRequests = 100;
+// Number of earlier requests to a cold server whose send times are retained.
+const coldRequestHistory = 100;
 
 /**
-Counts a request to a server in the server's state, until its end is told.
+Registers a request in the state of its server until the attempt ends.
 */
 export const beginAttempt = (
 	state: ServerState,
 	placement: Placement,
 	now: number,
-	{sendPrefillBacklog: tell, isCached, backendLimits}: AttemptOptions,
+	{sendPrefillBacklog: send, isCached, backendLimits}: AttemptOptions,
 ): BackendAttempt => {
-	const tellMore = (more: number) => {
-		if (more === 0) {
+	const changeBroadcastTokens = (change: number) => {
+		if (change === 0) {
 			return;
 		}
 
-		state.broadcastTokens += more;
-		tell(state.known.server.id, state.broadcastTokens);
+		state.broadcastTokens += change;
+		send(state.known.server.id, state.broadcastTokens);
 	};
 
 	backendLimits.recordSend(state.incarnationId, now);
-	const waiting = {since: now};
-	const tokens = tokensToRead(state, placement, isCached);
-	const toldTokens = tokens >= minimumBroadcastTokens ? tokens : 0;
-	const hadNothingToRead = prefillBacklogOf(state, now) === 0;
+	const pendingRequest = {since: now};
+	const tokens = tokensToPrefill(state, placement, isCached);
+	const tokensToBroadcast = tokens >= minimumBroadcastTokens ? tokens : 0;
+	const hadNoPrefillBacklog = prefillBacklogOf(state, now) === 0;
 	state.inFlight += 1;
 	state.crashSuspects += placement.isIsolated ? 1 : 0;
 	state.serviceInFlight.add(1, now);
 	state.pendingTokens += tokens;
-	state.pending.add(waiting);
-	tellMore(toldTokens);
+	state.pending.add(pendingRequest);
+	changeBroadcastTokens(tokensToBroadcast);
 	if (placement.sharedPart) {
 		state.promptCache.use(placement.sharedPart);
 	}
 
 	if (isCold(state, now)) {
-		state.coldSentAt = [...state.coldSentAt.slice(-keptColdRequests), now];
+		state.coldSentAt = [...state.coldSentAt.slice(-coldRequestHistory), now];
 	}
 
 	let isEnded = false;
-	const settle = () => {
-		if (!state.pending.delete(waiting)) {
+	const removePending = () => {
+		if (!state.pending.delete(pendingRequest)) {
 			return;
 		}
 
 		state.pendingTokens -= tokens;
-		tellMore(-toldTokens);
+		changeBroadcastTokens(-tokensToBroadcast);
 	};
 
 	return {
@@ -143,16 +144,16 @@
 		},
 		recordChunkInterval(intervalMs, at) {
 			state.chunkIntervalMs +=
-				(intervalMs - state.chunkIntervalMs) * paceWeight;
+				(intervalMs - state.chunkIntervalMs) * chunkIntervalWeight;
 			state.chunkIntervalAt = at;
 		},
 		recordFirstEvent(at) {
 			state.lastActivityAt = at;
-			if (hadNothingToRead && state.pending.has(waiting)) {
+			if (hadNoPrefillBacklog && state.pending.has(pendingRequest)) {
 				state.prefillSpeed.record(tokens, at - now);
 			}
 
-			settle();
+			removePending();
 		},
 		end(how, at) {
 			if (isEnded) {
@@ -160,7 +161,7 @@
 			}
 
 			isEnded = true;
-			settle();
+			removePending();
 			state.inFlight -= 1;
 			state.crashSuspects -= placement.isIsolated ? 1 : 0;
 			state.serviceInFlight.add(-1, at);
@@ -168,23 +169,23 @@
 				state.lastActivityAt = at;
 			}
 
-			noteEnd(state, how);
+			recordOutcome(state, how);
 		},
 	};
 };
 
-const tokensToRead = (
+const tokensToPrefill = (
 	{promptCache, known}: ServerState,
 	{promptTokens, sharedPart}: Placement,
-	isCached: AttemptOptions['isCached'],
+	checkCache: AttemptOptions['isCached'],
 ): number =>
 	sharedPart &&
-	(promptCache.has(sharedPart.id) || isCached(known.server.id, sharedPart.id))
+	(promptCache.has(sharedPart.id) || checkCache(known.server.id, sharedPart.id))
 		? promptTokens - sharedPart.tokens
 		: promptTokens;
 
-const noteEnd = (state: ServerState, how: BackendAttemptEnd): void => {
-	// The other ends say nothing of how well the server serves.
+const recordOutcome = (state: ServerState, how: BackendAttemptEnd): void => {
+	// Only answers and failures reflect the health of the server.
 	if (!(how === 'answered' || how === 'failed')) {
 		return;
 	}
--- a/src/backends/backend-fleet.ts
+++ b/src/backends/backend-fleet.ts
@@ -17,35 +17,34 @@
 } from './server-state.ts';
 
 /**
-Load and room of a service in the own region.
+Load and capacity of a service in the local region.
 */
 export type ServiceLoad = {readonly load: number; readonly slots: number};
 
 /**
-What another node says of one server.
+Prefill backlog of one server, as reported by another node.
 */
 export type PrefillBacklogReport = {
 	/**
-	One life of the node.
+	Identifies the incarnation of the node.
 	*/
 	readonly from: string;
 	readonly server: string;
 	readonly tokens: number;
 	/**
-	Rises with each message of the node.
+	Increases with each message of the node.
 	*/
 	readonly sequence: number;
 };
 
 /**
-What this node knows of the backend servers of its region.
+State of the backend servers of the local region, as known to this node.
 */
 export type BackendFleet = {
 	/**
-	Takes in the servers of the own region that may be used, by their ids. A server that has started again under
-	its id is as one that was never seen.
+	Sets the usable servers of the local region, by id. The state of a server that restarted under the same id is reset.
 
-	@returns Ids of those that have.
+	@returns Ids of the servers that restarted.
 	*/
 	sync(
 		servers: ReadonlyMap<string, KnownServer>,
@@ -55,36 +54,38 @@
 	begin(id: string, placement: Placement, now: number): BackendAttempt;
 	server(id: string): KnownServer['server'] | undefined;
 	/**
-	Finds servers that have gone silent with requests under way and do not say that they live.
+	Marks servers as suspect that have been silent with requests in flight and did not answer a health probe in time.
+
+	@returns Ids of the servers that became suspect.
 	*/
 	tick(now: number): readonly string[];
 	/**
-	Servers that are to be asked for their health now.
+	Returns the ids of the servers whose health probe is due.
 	*/
 	dueProbes(now: number): readonly string[];
 	/**
-	Takes in a health answer; without remaining cold time the health check failed.
+	Records the result of a health probe. An undefined cold time means that the probe failed.
 	*/
 	recordProbeResult(id: string, coldMs: number | undefined, now: number): void;
 	/**
-	The server answered a question for its health, whatever it said.
+	Records that the server answered a health probe, regardless of the result.
 	*/
 	recordProbeAnswer(id: string, now: number): void;
 	/**
-	Another node of the region has told how many tokens of its long prompts a server has still to read.
+	Records the prefill backlog that another node of the region reported for a server.
 	*/
-	recordPeerPrefillBacklog(reading: PrefillBacklogReport, now: number): void;
+	recordPeerPrefillBacklog(report: PrefillBacklogReport, now: number): void;
 	/**
-	Takes it that servers may have turned cold; they are asked before they get their full share.
+	Marks servers as possibly cold. They are probed before they receive their full share of requests.
 	*/
 	markPossiblyCold(ids: readonly string[]): void;
 	/**
-	A connection to the server could not be had, or its silence was noticed.
+	Marks a server as suspect: a connection to it failed, or it has been silent.
 	*/
 	suspect(id: string, now: number): void;
 	/**
-	The machine was suspended, or the clock leapt: what servers owe, and how cold they are, is counted by the time in
-	which this node could see it.
+	Shifts all times after the machine was suspended or its clock jumped. Silence and cold time are measured only while this node
+	was running.
 	*/
 	shiftClock(ms: number): void;
 	isSuspect(id: string): boolean;
@@ -93,23 +94,23 @@
 };
 
 /**
-What a fleet is built from.
+Options of `createBackendFleet`.
 */
 export type BackendFleetOptions = ServerChoiceOptions;
 
 /**
-Pause between two health checks of a server that failed, in milliseconds.
+Interval between health probes of one server, in milliseconds.
 */
 export const probeIntervalMs = 500;
 
 /**
-Builds an empty fleet.
+Creates an empty fleet.
 */
 export const createBackendFleet = (
 	options: BackendFleetOptions,
 ): BackendFleet => {
 	const states = new Map<string, ServerState>();
-	const ownByService = new Map<string, SmoothedCount>();
+	const inFlightByService = new Map<string, SmoothedCount>();
 	const speedByService = new Map<string, PrefillSpeed>();
 
 	const memoryTokensOf = ({server}: KnownServer): number =>
@@ -121,9 +122,9 @@
 		return known;
 	};
 
-	const ownOf = (service: string): SmoothedCount => {
-		const known = ownByService.get(service) ?? createSmoothedCount();
-		ownByService.set(service, known);
+	const inFlightOf = (service: string): SmoothedCount => {
+		const known = inFlightByService.get(service) ?? createSmoothedCount();
+		inFlightByService.set(service, known);
 		return known;
 	};
 
@@ -149,7 +150,7 @@
 			const restarted: string[] = [];
 			for (const [id, known] of servers) {
 				const state = states.get(id);
-				if (state && isSameLife(state.known, known)) {
+				if (state && isSameIncarnation(state.known, known)) {
 					const coldUntil = Math.max(known.coldUntil, state.known.coldUntil);
 					state.known = {...known, coldUntil};
 					continue;
@@ -158,7 +159,7 @@
 				states.set(
 					id,
 					createServerState(known, memoryTokensOf(known), now, {
-						serviceInFlight: ownOf(known.server.service),
+						serviceInFlight: inFlightOf(known.server.service),
 						prefillSpeed: speedOf(known.server.service),
 					}),
 				);
@@ -180,7 +181,7 @@
 			}
 
 			const silent = [...states]
-				.filter(([, state]) => !state.isSuspect && isFoundSilent(state, now))
+				.filter(([, state]) => !state.isSuspect && isProvenSilent(state, now))
 				.map(([id]) => id);
 			for (const id of silent) {
 				suspect(id, now);
@@ -196,7 +197,7 @@
 						state.probingSince !== undefined) &&
 					now - state.probedAt >= probeIntervalMs &&
 					options.backoffs.remainingMs(state.incarnationId, now) === 0 &&
-					// Health checks of all nodes would go beyond a limit by themselves.
+					// The health probes of all nodes would exceed a rate limit on their serverSlots.
 					options.backendLimits.canSend(state.incarnationId, now),
 			);
 			for (const [, state] of due) {
@@ -258,21 +259,21 @@
 				.toArray();
 			const nodes = options.nodesServing();
 			const others = estimatedPeerRequests(
-				ownOf(service).mean(now),
+				inFlightOf(service).mean(now),
 				nodes,
 				usable.length,
 			);
 			let load = 0;
 			let slots = 0;
 			for (const state of usable) {
-				const own = state.known.server.slots;
-				// A limited or resting server has no room to offer to other regions.
-				const isUsedUp =
+				const serverSlots = state.known.server.slots;
+				// A rate-limited server, or one in backoff, offers no capacity to other regions.
+				const hasNoCapacity =
 					options.backendLimits.rateOf(state.incarnationId) !== undefined ||
 					options.backoffs.remainingMs(state.incarnationId, now) > 0;
-				const held = estimatedLoad(state, nodes, now, {others});
-				load += isUsedUp ? Math.max(held, own) : held;
-				slots += own;
+				const estimated = estimatedLoad(state, nodes, now, {others});
+				load += hasNoCapacity ? Math.max(estimated, serverSlots) : estimated;
+				slots += serverSlots;
 			}
 
 			return {load, slots};
@@ -281,11 +282,11 @@
 	};
 };
 
-const isSameLife = (left: KnownServer, right: KnownServer): boolean =>
+const isSameIncarnation = (left: KnownServer, right: KnownServer): boolean =>
 	left.server.startedAt === right.server.startedAt;
 
-// A silent server is doubted, and found silent in earnest when it does not vouch for itself.
-const isFoundSilent = (state: ServerState, now: number): boolean => {
+// A silent server is probed first, and becomes suspect only if it does not answer in time.
+const isProvenSilent = (state: ServerState, now: number): boolean => {
 	const silence = silentFor(state, now);
 	if (silence <= silenceThresholdMs) {
 		state.probingSince = undefined;
--- a/src/backends/choose-server.ts
+++ b/src/backends/choose-server.ts
@@ -11,40 +11,40 @@
 import {isCold, type ServerState} from './server-state.ts';
 
 /**
-Where a request could go in the own region.
+Result of choosing a backend server in the local region.
 */
 export type LocalChoice =
 	| {
 			readonly kind: 'server';
 			readonly id: string;
 			/**
-			Load after the request, 1 being full; comparable between servers and regions.
+			Load after the request, where 1 is full; comparable between servers and regions.
 			*/
 			readonly cost: number;
 	  }
 	/**
-	There are servers, but none has room for another request of this node.
+	Servers exist, but none has capacity for another request of this node.
 	*/
 	| {
 			readonly kind: 'full';
 			/**
-			Given where all of them have named limits: requests a second that this node may send them. More room does not
-			come, whatever ends there.
+			Set if all servers have rate limits: requests per second that this node may send to them. The end of a request does not free
+			further capacity.
 			*/
 			readonly perSecond?: number;
 			/**
-			Given where all of them rest: milliseconds until the first of them may be sent a request.
+			Set if all servers are in backoff: milliseconds until the first of them accepts requests.
 			*/
 			readonly backoffRemainingMs?: number;
 	  }
 	| {readonly kind: 'none'};
 
-// Servers whose costs differ by less look alike. Nodes see their own requests only, so without a draw
-// all of them would send to the first server of the list.
-const alikeCost = 0.1;
+// Range of the random part of a cost. Nodes know only their own requests, so without randomization all of them would choose the
+// first of several servers with similar costs.
+const randomCostRange = 0.1;
 
 /**
-Chooses the server that costs a request least, among those that have room for it.
+Chooses the server with the lowest cost for a request among those that have capacity.
 */
 export const chooseServer = (
 	options: ServerChoiceOptions,
@@ -52,37 +52,39 @@
 	placement: Placement,
 	now: number,
 ): LocalChoice => {
-	const fit = [...states].filter((state) => isFit(state, placement));
-	if (fit.length === 0) {
+	const eligible = [...states].filter((state) => isEligible(state, placement));
+	if (eligible.length === 0) {
 		return {kind: 'none'};
 	}
 
-	// Left out before the others are compared: a keeper that may not be sent the prompt is none.
-	const awake = fit.filter((state) => isAwake(options, state, now));
-	if (awake.length === 0) {
-		return fullOfResting(options, fit, now);
+	// Servers in backoff are excluded before costs are computed, because a cached part on them cannot be used.
+	const available = eligible.filter((state) =>
+		isAvailable(options, state, now),
+	);
+	if (available.length === 0) {
+		return fullInBackoff(options, eligible, now);
 	}
 
-	const candidates = awake.filter((state) =>
+	const candidates = available.filter((state) =>
 		isWithinLimit(options, state, placement, now),
 	);
 	if (candidates.length === 0) {
-		return fullOfLimited(options, awake);
+		return fullByLimits(options, available);
 	}
 
-	// Asked once: it counts all nodes of the region, and there may be as many servers as nodes.
-	const sharers = sharingNodesOf(placement, options.nodesServing());
-	const rereadCostOf = prefillCosts(options, candidates, placement, now);
+	// Evaluated once, because it counts all nodes of the region, and there may be as many servers as nodes.
+	const sharingNodes = sharingNodesOf(placement, options.nodesServing());
+	const prefillCostOf = prefillCosts(options, candidates, placement, now);
 	const loadOf = estimatedLoads(options, candidates, placement, now);
 	let best: {readonly state: ServerState; readonly cost: number} | undefined;
 	for (const state of candidates) {
-		const fullness = utilizationOf(options, state, sharers, now);
-		const load = loadOf(state, fullness);
+		const utilization = utilizationOf(options, state, sharingNodes, now);
+		const load = loadOf(state, utilization);
 		if (
-			fullness > 1 ||
+			utilization > 1 ||
 			load > 1 ||
-			!isFreeOfSuspects(state, placement) ||
-			!hasColdRoom(options, state, now)
+			!hasNoSuspectConflict(state, placement) ||
+			!hasColdCapacity(options, state, now)
 		) {
 			continue;
 		}
@@ -90,8 +92,8 @@
 		const cost =
 			load +
 			stateCost(options, state, now) +
-			rereadCostOf(state) +
-			options.randomFraction() * alikeCost;
+			prefillCostOf(state) +
+			options.randomFraction() * randomCostRange;
 		if (!best || cost < best.cost) {
 			best = {state, cost};
 		}
@@ -102,26 +104,28 @@
 		: {kind: 'full'};
 };
 
-const isFit = (
+const isEligible = (
 	{known: {server}, isSuspect}: ServerState,
 	{service, excluded}: Placement,
 ): boolean =>
 	!isSuspect && server.service === service && !excluded.has(server.id);
 
-const isAwake = (
+const isAvailable = (
 	{backoffs}: ServerChoiceOptions,
 	{incarnationId, inFlight}: ServerState,
 	now: number,
 ): boolean =>
 	!backoffs.hasAny() || backoffs.canSend(incarnationId, inFlight, now);
 
-const fullOfResting = (
+const fullInBackoff = (
 	{backoffs}: ServerChoiceOptions,
-	fit: readonly ServerState[],
+	eligible: readonly ServerState[],
 	now: number,
 ): LocalChoice => {
 	const backoffRemainingMs = Math.min(
-		...fit.map(({incarnationId}) => backoffs.remainingMs(incarnationId, now)),
+		...eligible.map(({incarnationId}) =>
+			backoffs.remainingMs(incarnationId, now),
+		),
 	);
 	return backoffRemainingMs > 0
 		? {kind: 'full', backoffRemainingMs}
@@ -139,27 +143,27 @@
 		? backendLimits.rateOf(incarnationId) === undefined
 		: backendLimits.canSend(incarnationId, now));
 
-// Those without a limit are always candidates, so all that are fit have one.
-const fullOfLimited = (
+// Servers without a rate limit are always candidates, so all servers in the list have one.
+const fullByLimits = (
 	{backendLimits}: ServerChoiceOptions,
-	fit: readonly ServerState[],
+	eligible: readonly ServerState[],
 ): LocalChoice => {
 	let perSecond = 0;
-	for (const {incarnationId} of fit) {
+	for (const {incarnationId} of eligible) {
 		perSecond += backendLimits.rateOf(incarnationId) ?? 0;
 	}
 
 	return {kind: 'full', perSecond};
 };
 
-// Of two requests that were at the same crashes none can be told to have caused them. Tried apart from each other, the one
-// that crashes servers is found sooner, and fewer that merely shared them are lost.
-const isFreeOfSuspects = (
+// If two suspected requests run on the same server and it crashes, neither can be identified as the cause. Isolating them finds
+// the responsible request sooner and loses fewer requests that were only in flight at the same time.
+const hasNoSuspectConflict = (
 	{crashSuspects}: ServerState,
 	{isIsolated}: Placement,
 ): boolean => !isIsolated || crashSuspects === 0;
 
-const hasColdRoom = (
+const hasColdCapacity = (
 	options: ServerChoiceOptions,
 	state: ServerState,
 	now: number,
--- a/src/backends/cold-limit.ts
+++ b/src/backends/cold-limit.ts
@@ -1,61 +1,61 @@
 /**
-Bounds what all nodes together send to a cold backend server in any second.
+Bound on the requests that all nodes together send to a cold backend server in any second.
 */
 export type ColdBound = {
 	readonly requestsPerSecond: number;
 	/**
-	The rate may be passed by this factor.
+	Factor by which the rate may be exceeded.
 	*/
 	readonly overrun: number;
 	/**
-	Requests on top of the rate in any second.
+	Requests allowed in addition to the rate in any second.
 	*/
 	readonly slack: number;
 };
 
 /**
-Part of the bound that is used; the rest covers nodes that another has not heard of yet.
+Fraction of the bound that is used. The remainder covers nodes that are not known to all others yet.
 */
 export const usedFraction = 0.75;
 
 /**
-The most nodes that send to one cold backend server. With more, each one's share would be less than
-a request a second.
+Maximum number of nodes that send to one cold backend server. With more nodes, each share would be less than one request per
+second.
 */
 export const maximumColdSenders = 4;
 
 const secondMs = 1000;
-// Requests that leave within a second may arrive a little closer together.
-const arrivalSpreadMs = 150;
+// Added to the one-second window, because requests may arrive closer together than they were sent.
+const arrivalJitterMs = 150;
 
 /**
-The requests that one node may send to a cold server within a second.
+Returns the number of requests that one node may send to a cold server within a second.
 
-The first nodes send in an order that all derive from the server's name, over all nodes of the region that were ever heard
-of, dead ones included: a node that cannot be heard may still be sending. A server that bears less than one request of each
-of them has fewer senders; parts below one would leave it without any.
+The first nodes in rendezvous order for the server are its senders. The order covers all nodes of the region that were ever
+known, including dead ones, because an unreachable node may still be sending. If the bound is less than one request per sender,
+fewer nodes send: rounding fractional shares down would leave the server without requests.
 
-@param bound What all nodes together may send.
-@param rank Nodes that go before this one.
-@param nodes How many nodes there are, this one included.
+@param bound Bound for all nodes together.
+@param rank Number of nodes that precede this one in the order.
+@param nodes Number of all nodes, including this one.
 */
 export const coldShare = (
 	bound: ColdBound,
 	rank: number,
 	nodes: number,
 ): number => {
-	const whole = bound.requestsPerSecond * bound.overrun + bound.slack;
-	const used = Math.max(whole * usedFraction, Math.min(1, Math.floor(whole)));
+	const total = bound.requestsPerSecond * bound.overrun + bound.slack;
+	const used = Math.max(total * usedFraction, Math.min(1, Math.floor(total)));
 	const senders = Math.min(nodes, maximumColdSenders, Math.floor(used));
 	return rank < senders ? Math.floor(used / senders) : 0;
 };
 
 /**
-Whether one more request fits into the share, given the times of the latest ones.
+Whether a further request is within the share, given the send times of the latest requests.
 */
 export const isWithinColdShare = (
 	sentAt: readonly number[],
 	share: number,
 	now: number,
 ): boolean =>
-	sentAt.filter((at) => now - at < secondMs + arrivalSpreadMs).length < share;
+	sentAt.filter((at) => now - at < secondMs + arrivalJitterMs).length < share;
--- a/src/backends/estimated-load.ts
+++ b/src/backends/estimated-load.ts
@@ -1,63 +1,66 @@
 import type {ServerState} from './server-state.ts';
 
 /**
-How long a server's statement of its load says something, in milliseconds: about as long as the streams
-last that it counted. It counts for less the older it is.
+Time after which a load that a server stated is ignored, in milliseconds: about the duration of the streams that it counts. The
+weight of the statement decreases linearly with its age.
 */
 export const statedLoadMaximumAgeMs = 3000;
 
 /**
-What a load is reckoned with beside what is known of the server.
+Assumptions that complement the known state of a server.
 */
 export type LoadAssumptions = {
 	/**
-	Requests of this node beyond those that are under way.
+	Requests of this node in addition to those in flight.
 	*/
 	readonly additional?: number;
 	/**
-	Requests that the other nodes hold; as many each as this one where it is not given.
+	Requests of the other nodes in flight at the server. By default, each node is assumed to have as many as this one.
 	*/
 	readonly others?: number;
 };
 
 /**
-The requests of all nodes that are under way at a server, as far as this node can tell.
+Estimates the requests of all nodes in flight at a server.
 
-What the server said last, without this node's requests of then, is taken for the others'; without a
-recent statement the assumption is.
+The requests of other nodes are the load that the server stated last, minus this node's requests at that time. Without a
+recent statement, the assumption is used.
 
-@param state What this node knows of the server.
-@param sharers Nodes that send to the server, this one included.
+@param state State of the server at this node.
+@param sharingNodes Number of nodes that send to the server, including this one.
 @param now This node's clock, in milliseconds.
-@param assumptions What is taken for granted.
+@param assumptions Assumptions that complement the state.
 */
 export const estimatedLoad = (
 	state: ServerState,
-	sharers: number,
+	sharingNodes: number,
 	now: number,
 	assumptions: LoadAssumptions = {},
 ): number => {
 	const {inFlight, statedLoad} = state;
 	const own = inFlight + (assumptions.additional ?? 0);
-	const others = assumptions.others ?? own * (sharers - 1);
+	const others = assumptions.others ?? own * (sharingNodes - 1);
 	if (!statedLoad) {
 		return own + others;
 	}
 
-	const trust = Math.max(0, 1 - (now - statedLoad.at) / statedLoadMaximumAgeMs);
-	return own + statedLoad.others * trust + others * (1 - trust);
+	const weight = Math.max(
+		0,
+		1 - (now - statedLoad.at) / statedLoadMaximumAgeMs,
+	);
+	return own + statedLoad.others * weight + others * (1 - weight);
 };
 
 /**
-Requests that the other nodes are taken to hold at each server of a service: as many each as this node held
-on the average lately, spread evenly.
+Estimates the requests of the other nodes in flight at each server of a service. Each node is assumed to have as many as this
+node's recent average, spread evenly over the servers.
 
-What this node has at one server at one moment tells little of the others where there are many nodes: one
-request of its own would stand for as many as there are nodes and make an idle server look full.
+With many nodes, this node's current requests at one server are a poor estimate: a single request would be multiplied by the
+number of nodes and make an idle server appear full.
 
-@param mean Requests of this node for the service, on the average over the last seconds.
-@param nodes Nodes that send to the servers, this one included.
-@param servers Servers of the service.
+@param mean Average number of this node's requests for the service over the last seconds.
+@param nodes Number of nodes that send to the servers, including this one.
+@param servers Number of servers of the service.
 */
 export const estimatedPeerRequests = (
 	mean: number,
--- a/src/backends/peer-prefill-backlog.ts
+++ b/src/backends/peer-prefill-backlog.ts
@@ -1,49 +1,49 @@
 /**
-Tokens of long prompts that other nodes sent to one server and that are still to be read, as they told it.
+Tokens of long prompts that other nodes sent to one server and that it has not processed yet, as reported by those nodes.
 */
 export type PeerPrefillBacklog = {
 	/**
-	Takes in what a node says; what it said before, or says in an earlier message that comes later, does not count.
+	Replaces the report of a node; ignores messages that arrive out of order.
 	*/
 	record(node: string, tokens: number, sequence: number, now: number): void;
 	/**
-	The sum over all nodes.
+	Returns the sum over all nodes.
 	*/
 	tokens(now: number): number;
 };
 
 /**
-How long a node's word counts, in milliseconds: longer than engines take to come to a prompt, and short enough that the
-word that a prompt is read, where it was lost, is not missed for long.
+Time after which a report expires, in milliseconds. It exceeds the time that engines take to start on a prompt, and is short
+enough to limit the effect of a lost message that reports the end of a prefill.
 */
 export const prefillBacklogMaximumAgeMs = 3000;
 
-type Word = {
+type Report = {
 	readonly tokens: number;
 	readonly sequence: number;
-	readonly heardAt: number;
+	readonly receivedAt: number;
 };
 
 /**
-Builds what was told nothing.
+Creates a backlog without reports.
 */
 export const createPeerPrefillBacklog = (): PeerPrefillBacklog => {
-	const words = new Map<string, Word>();
+	const reports = new Map<string, Report>();
 
 	return {
 		record(node, tokens, sequence, now) {
-			const known = words.get(node);
+			const known = reports.get(node);
 			if (known && known.sequence >= sequence) {
 				return;
 			}
 
-			words.set(node, {tokens, sequence, heardAt: now});
+			reports.set(node, {tokens, sequence, receivedAt: now});
 		},
 		tokens(now) {
 			let sum = 0;
-			for (const [node, {tokens, heardAt}] of words) {
-				if (now - heardAt > prefillBacklogMaximumAgeMs) {
-					words.delete(node);
+			for (const [node, {tokens, receivedAt}] of reports) {
+				if (now - receivedAt > prefillBacklogMaximumAgeMs) {
+					reports.delete(node);
 				} else {
 					sum += tokens;
 				}
--- a/src/backends/placement.ts
+++ b/src/backends/placement.ts
@@ -1,27 +1,28 @@
 /**
-What a request needs of a backend server.
+Requirements of a request for a backend server.
 */
 export type Placement = {
 	readonly service: string;
 	/**
-	The shared part of the prompt by which it is placed.
+	The shared part of the prompt, which determines the server that is preferred.
 	*/
 	readonly sharedPart?: {readonly id: string; readonly tokens: number};
 	readonly promptTokens: number;
 	/**
-	Time to the first event that users hope for, in milliseconds.
+	Target time to the first event, in milliseconds.
 	*/
 	readonly targetMs: number;
 	/**
-	Backend servers that failed it already.
+	Backend servers that have already failed the request.
 	*/
 	readonly excluded: ReadonlySet<string>;
 	/**
-	Whether it was at a server that crashed, and goes where no other such request of this node is under way.
+	Whether the request was in flight at a server that crashed. It is sent only to a server where this node has no other such
+request in flight.
 	*/
 	readonly isIsolated?: boolean;
 	/**
-	Whether a more urgent request waits for room: what limited servers take is left to that one.
+	Whether a more urgent request waits for capacity. Rate-limited servers are then reserved for that request.
 	*/
 	readonly hasMoreUrgentWaiter?: boolean;
 };
--- a/src/backends/prefill-speed.ts
+++ b/src/backends/prefill-speed.ts
@@ -1,27 +1,28 @@
 /**
-How fast the engines of a service read prompts, as this node saw it.
+Prefill speed of the engines of a service, as measured by this node.
 */
 export type PrefillSpeed = {
 	/**
-	An engine that had nothing else to read began to answer a prompt.
+	Records the time to the first event of a prompt at an engine that had no other prefill backlog.
 	*/
 	record(tokens: number, milliseconds: number): void;
 	/**
-	Tokens in a millisecond; undefined before any prompt was seen.
+	Tokens per millisecond; undefined before the first measurement.
 	*/
 	tokensPerMs(): number | undefined;
 };
 
 /**
-A prompt of fewer tokens says little of the speed: the way and the wait for a step take as long as its reading.
+Minimum tokens of a prompt that is measured. For shorter prompts, network transit and the wait for an engine step take as long as
+the prefill itself.
 */
 export const minimumSampleTokens = 2500;
 
-// Weight of one more prompt.
+// Weight of the latest prompt in the moving average.
 const speedWeight = 0.2;
 
 /**
-Builds a speed that is not known yet.
+Creates a speed without measurements.
 */
 export const createPrefillSpeed = (): PrefillSpeed => {
 	let speed: number | undefined;
@@ -32,8 +33,11 @@
 				return;
 			}
 
-			const seen = tokens / milliseconds;
-			speed = speed === undefined ? seen : speed + (seen - speed) * speedWeight;
+			const measured = tokens / milliseconds;
+			speed =
+				speed === undefined
+					? measured
+					: speed + (measured - speed) * speedWeight;
 		},
 		tokensPerMs: () => speed,
 	};
--- a/src/backends/prompt-cache-estimate.ts
+++ b/src/backends/prompt-cache-estimate.ts
@@ -1,29 +1,31 @@
 /**
-What one engine is believed to keep of shared prompt parts, by what this node sent it.
+Estimate of the shared prompt parts that one engine has cached, based on the prompts that this node sent to it.
 */
 export type PromptCacheEstimate = {
 	has(part: string): boolean;
 	/**
-	Enters a part as used last; the parts unused for longest give way.
+	Marks a part as the most recently used; evicts the least recently used parts if the cache is full.
 	*/
 	use(part: {readonly id: string; readonly tokens: number}): void;
 };
 
-// The rest of an engine's memory holds running requests and parts that other nodes sent.
-const keptPart = 0.8;
+// Fraction of an engine's memory that this estimate may fill. The remainder holds running requests and parts sent by other nodes.
+const usableFraction = 0.8;
 
 /**
-Builds an empty memory for an engine that holds so many tokens.
+Creates an empty estimate.
+
+@param engineTokens Capacity of the engine's cache, in tokens.
 */
 export const createPromptCacheEstimate = (
 	engineTokens: number,
 ): PromptCacheEstimate => {
-	// A map keeps its keys in the order of their entry: the first is the one unused for longest.
+	// A map iterates in insertion order, so its first key is the least recently used part.
 	const parts = new Map<string, number>();
-	let kept = 0;
+	let cachedTokens = 0;
 
 	const drop = (id: string) => {
-		kept -= parts.get(id) ?? 0;
+		cachedTokens -= parts.get(id) ?? 0;
 		parts.delete(id);
 	};
 
@@ -32,9 +34,9 @@
 		use({id, tokens}) {
 			drop(id);
 			parts.set(id, tokens);
-			kept += tokens;
+			cachedTokens += tokens;
 			for (const [oldest] of parts) {
-				if (kept <= engineTokens * keptPart) {
+				if (cachedTokens <= engineTokens * usableFraction) {
 					return;
 				}
 
--- a/src/backends/server-choice-options.ts
+++ b/src/backends/server-choice-options.ts
@@ -5,51 +5,51 @@
 import type {PrefillBacklogSender} from './backend-attempt.ts';
 
 /**
-What servers are chosen by.
+Options for choosing a backend server.
 */
 export type ServerChoiceOptions = {
 	readonly without: DisabledMechanisms;
 	readonly availabilityZone: string;
 	/**
-	Ids of all nodes of the region that were ever heard of, this one included.
+	Ids of all nodes of the region that were ever known, including this one.
 	*/
 	readonly knownNodes: () => readonly string[];
 	/**
-	How many of them go before this one in the order for a server.
+	Number of these nodes that precede this one in rendezvous order for a server.
 	*/
 	readonly senderRank: (server: string) => number;
 	/**
-	How many nodes of the region serve now, this one included.
+	Number of nodes of the region that currently serve requests, including this one.
 	*/
 	readonly nodesServing: () => number;
 	readonly service: (name: string) => Service | undefined;
 	readonly coldOverrun: number;
 	readonly coldSlack: number;
 	/**
-	Whether cold servers may be used yet; a node that has just started knows no other nodes.
+	Whether cold servers may be used. A node that has just started does not know the other nodes yet.
 	*/
 	readonly mayUseCold: (now: number) => boolean;
 	/**
-	Whether a server is known to keep a prompt part in its memory.
+	Whether a server is known to hold a prompt part in its cache.
 	*/
 	readonly isCached: (server: string, part: string) => boolean;
 	/**
-	Tells the other nodes of the region what a server has still to read of this node's long prompts.
+	Broadcasts to the other nodes of the region the tokens of this node's long prompts that a server has not processed yet.
 	*/
 	readonly sendPrefillBacklog: PrefillBacklogSender;
 	/**
-	The limits that servers name.
+	Rate limits that servers state.
 	*/
 	readonly backendLimits: Pick<
 		BackendLimits,
 		'hasAny' | 'canSend' | 'rateOf' | 'recordSend'
 	>;
 	/**
-	The rests that servers asked this node for.
+	Backoffs that servers requested from this node.
 	*/
 	readonly backoffs: Pick<ServerBackoffs, 'remainingMs' | 'canSend' | 'hasAny'>;
 	/**
-	A number from 0 to 1, by which nodes choose differently among servers that look alike.
+	Returns a random number from 0 to 1, which makes nodes choose differently among servers with similar costs.
 	*/
 	readonly randomFraction: () => number;
 };
--- a/src/backends/server-cost.ts
+++ b/src/backends/server-cost.ts
@@ -4,86 +4,88 @@
 import type {ServerChoiceOptions} from './server-choice-options.ts';
 import {prefillBacklogOf, silentFor, type ServerState} from './server-state.ts';
 
-// Requests that all nodes together hold at a server, by its slots: engines queue what does not
-// fit their batch at little cost, plain servers answer it later.
-const engineRoom = 1.5;
-const plainRoom = 2;
+// Maximum requests of all nodes in flight at a server, as a multiple of its slots. Engines queue requests that exceed their
+// batch at little cost; plain servers delay them.
+const engineCapacityFactor = 1.5;
+const plainCapacityFactor = 2;
 
-// Long prompts for one server come by way of few nodes: the one that other regions send them to, and
-// those of its own region that have callers for the same part. With room by the number of all nodes
-// half of the prompts met a server that this node had no room at, and were read again elsewhere.
-const nodesOfLongPrompts = 3;
+// Number of nodes assumed to send long prompts to one server: the node that receives them from other regions, and the nodes of
+// the local region whose callers use the same prompt part. Dividing the capacity by the number of all nodes would leave this
+// node without capacity for half of the prompts, which other servers would then process again.
+const longPromptNodes = 3;
 
-// As much prompt as delays the requests behind it about as much as a full server does, in tokens.
-const promptTokensOfFull = 40_000;
+// Prefill backlog, in tokens, that delays subsequent requests about as much as a fully loaded server does.
+const fullLoadTokens = 40_000;
 
-// A server whose streams have a piece so seldom is as bad as a full one, in milliseconds: a little less than
-// the longest pauses at which callers still take an answer for fluent. Requests that are under way say little of
-// how busy an engine is that reads long prompts between the tokens of its streams.
-const paceOfFull = 400;
+// Chunk interval, in milliseconds, that costs as much as a fully loaded server. It is slightly below the longest pause that
+// callers still perceive as fluent. The number of requests in flight does not show how busy an engine is that processes long
+// prompts between the tokens of its streams.
+const fullLoadChunkIntervalMs = 400;
 
-// How long a pace says something, in milliseconds: about as long as a stream lasts.
-const paceTrustMs = 3000;
+// Time after which a measured chunk interval is ignored, in milliseconds: about the duration of a stream.
+const chunkIntervalMaximumAgeMs = 3000;
 
-// Reading a shared part again takes its time from the requests of the whole region, drives other parts out
-// and is paid for, so it counts for far more than the same wait behind another prompt: a part is read again
-// only where its keepers have no room.
-const anotherReadFactor = 16;
+// Cost factor for processing a shared part that another server has cached. A second prefill takes engine time from the whole
+// region, evicts other parts and is paid for, so it costs far more than an equal wait behind another prompt. The part is
+// processed again only where the servers that hold it have no capacity.
+const repeatedPrefillFactor = 16;
 
-// The part of the target time that the reading of what is there may take: the rest is for the way, and for what other
-// nodes send meanwhile.
-const inTimePart = 0.7;
+// Fraction of the target time that prefill may take. The remainder covers network transit and prompts that other nodes send in
+// the meantime.
+const prefillTimeFraction = 0.7;
 
-// Where no server keeps a part one has to read it: the first in the order of its hash, for there the
-// other nodes look for it, unless another is less busy by more than this counts.
-const firstReadFactor = 0.5;
+// Cost factor for processing a part that no server has cached. The first server in rendezvous order is exempt, because the other
+// nodes choose it too; another server is chosen only if its load is lower by more than this cost.
+const firstPrefillFactor = 0.5;
 
-// What a server of another zone of the region is worse by: the bytes between zones are paid for.
+// Cost of a server in another zone of the region: traffic between zones is paid for.
 const otherZoneCost = 0.15;
 
-// What a server that fails every request is worse by than a sound one.
+// Cost of a server that fails every request, compared with one that fails none.
 const failureCost = 3;
 
 /**
-How many nodes share the room of a server for a request.
+Returns the number of nodes that share the capacity of a server for a request.
 */
 export const sharingNodesOf = (
 	{sharedPart}: Placement,
 	nodesServing: number,
 ): number =>
-	sharedPart ? Math.min(nodesServing, nodesOfLongPrompts) : nodesServing;
+	sharedPart ? Math.min(nodesServing, longPromptNodes) : nodesServing;
 
 /**
-The part of the room of a server that is taken once it has one more request of this node, with each node
-keeping to an equal share of it; beyond 1 there is none left.
+Returns the utilization of a server's capacity after one more request of this node, where each node is limited to an equal
+share. A value above 1 means that no capacity is left.
 */
 export const utilizationOf = (
 	options: ServerChoiceOptions,
 	state: ServerState,
-	sharers: number,
+	sharingNodes: number,
 	now: number,
 ): number => {
-	const room =
-		Math.max(1, Math.ceil(wholeRoom(options, state) / sharers)) * sharers;
-	return estimatedLoad(state, sharers, now, {additional: 1}) / room;
+	const capacity =
+		Math.max(1, Math.ceil(capacityOf(options, state) / sharingNodes)) *
+		sharingNodes;
+	return estimatedLoad(state, sharingNodes, now, {additional: 1}) / capacity;
 };
 
 /**
-The load of a server once it has one more request of this node, 1 being full, by what the other nodes are
-likely to hold there; what servers are compared by.
+Returns a function that estimates the load of a server after one more request of this node, including the expected requests of
+the other nodes. A load of 1 is full. Servers are compared by this value.
 
-A node among many that took its one request for as many as there are nodes would send to other regions without need.
+With many nodes, multiplying this node's current requests by the number of nodes would overestimate the load and send requests
+to other regions needlessly.
 */
 export const estimatedLoads = (
 	options: ServerChoiceOptions,
 	candidates: readonly ServerState[],
 	{sharedPart}: Placement,
 	now: number,
-): ((state: ServerState, fullness: number) => number) => {
-	// Long prompts for one server come by way of so few nodes that what this one holds tells of the others.
+): ((state: ServerState, utilization: number) => number) => {
+	// Few nodes send long prompts to one server, so this node's own requests are a good estimate of theirs.
 	const isLongPrompt = sharedPart !== undefined;
 	if (isLongPrompt || options.without.has('smoothed-load')) {
-		return (_state, fullness) => fullness;
+		return (_state, utilization) => utilization;
 	}
 
 	const nodes = options.nodesServing();
@@ -91,18 +93,20 @@
 	const others = estimatedPeerRequests(mean, nodes, candidates.length);
 	return (state) =>
 		estimatedLoad(state, nodes, now, {additional: 1, others}) /
-		wholeRoom(options, state);
+		capacityOf(options, state);
 };
 
-const wholeRoom = (
+const capacityOf = (
 	{service}: ServerChoiceOptions,
 	{known: {server}}: ServerState,
 ): number =>
 	server.slots *
-	(service(server.service)?.engine === undefined ? plainRoom : engineRoom);
+	(service(server.service)?.engine === undefined
+		? plainCapacityFactor
+		: engineCapacityFactor);
 
 /**
-What a server's state counts for, whatever the request, in parts of a full server.
+Returns the cost of a server's state, independent of the request. A fully loaded server costs 1.
 */
 export const stateCost = (
 	options: ServerChoiceOptions,
@@ -114,13 +118,15 @@
 		: otherZoneCost) +
 	(options.without.has('reading-cost')
 		? 0
-		: prefillBacklogOf(state, now) / promptTokensOfFull) +
-	(options.without.has('pace') ? 0 : paceOf(state, now) / paceOfFull) +
+		: prefillBacklogOf(state, now) / fullLoadTokens) +
+	(options.without.has('pace')
+		? 0
+		: effectiveChunkIntervalOf(state, now) / fullLoadChunkIntervalMs) +
 	(options.without.has('failure-cost') ? 0 : state.failureRate * failureCost);
 
 /**
-What reading the shared part of a prompt counts for at each server. What this node sent lately counts as
-kept, for engines tell of their memory late.
+Returns a function that gives the cost of processing the shared part of a prompt at a server. Parts that this node sent
+recently count as cached, because engines report their caches with a delay.
 */
 export const prefillCosts = (
 	{isCached, without}: ServerChoiceOptions,
@@ -134,24 +140,24 @@
 	}
 
 	const {id, tokens} = sharedPart;
-	const readCost = tokens / promptTokensOfFull;
-	const isKeeper = ({known, promptCache}: ServerState) =>
+	const prefillCost = tokens / fullLoadTokens;
+	const isHolder = ({known, promptCache}: ServerState) =>
 		isCached(known.server.id, id) || promptCache.has(id);
-	const keepers = new Set(candidates.filter((state) => isKeeper(state)));
-	if (keepers.size > 0) {
-		const isKeeperInTime =
+	const holders = new Set(candidates.filter((state) => isHolder(state)));
+	if (holders.size > 0) {
+		const isHolderInTime =
 			without.has('prompt-copies') ||
-			[...keepers].some((state) => isInTime(state, placement, now));
-		const factor = isKeeperInTime ? anotherReadFactor : 1;
-		return (state) => (keepers.has(state) ? 0 : readCost * factor);
+			[...holders].some((state) => isInTime(state, placement, now));
+		const factor = isHolderInTime ? repeatedPrefillFactor : 1;
+		return (state) => (holders.has(state) ? 0 : prefillCost * factor);
 	}
 
 	const first = rendezvousFirst(id, candidates, ({known}) => known.server.id);
-	return (state) => (state === first ? 0 : readCost * firstReadFactor);
+	return (state) => (state === first ? 0 : prefillCost * firstPrefillFactor);
 };
 
-// Whether a server that keeps the shared part of a prompt is likely to begin its answer in time. Where none is, another
-// one reads the part as well, and hot parts come to be kept by several.
+// Whether a server that has cached the shared part of a prompt is likely to begin its response in time. If none is, another
+// server processes the part too, so several servers come to hold hot parts.
 const isInTime = (
 	state: ServerState,
 	{sharedPart, promptTokens, targetMs}: Placement,
@@ -160,13 +166,18 @@
 	const speed = state.prefillSpeed.tokensPerMs();
 	const tokens =
 		prefillBacklogOf(state, now) + promptTokens - (sharedPart?.tokens ?? 0);
-	return speed === undefined || tokens / speed <= targetMs * inTimePart;
+	return (
+		speed === undefined || tokens / speed <= targetMs * prefillTimeFraction
+	);
 };
 
-// Without streams to tell it by, a server's pace is taken to get better; one that owes answers has no better
-// pace than the silence that it has kept.
-const paceOf = (state: ServerState, now: number): number => {
+// Without new measurements, the chunk interval decays to 0. While a server has pending requests, the interval is at least the time
+// since its last activity.
+const effectiveChunkIntervalOf = (state: ServerState, now: number): number => {
 	const {chunkIntervalMs, chunkIntervalAt} = state;
-	const trust = Math.max(0, 1 - (now - chunkIntervalAt) / paceTrustMs);
-	return Math.max(chunkIntervalMs * trust, silentFor(state, now));
+	const weight = Math.max(
+		0,
+		1 - (now - chunkIntervalAt) / chunkIntervalMaximumAgeMs,
+	);
+	return Math.max(chunkIntervalMs * weight, silentFor(state, now));
 };
--- a/src/backends/server-state.ts
+++ b/src/backends/server-state.ts
@@ -11,99 +11,97 @@
 import {createSmoothedCount, type SmoothedCount} from './smoothed-count.ts';
 
 /**
-What this node knows of one backend server.
+State of one backend server as known to this node.
 */
 export type ServerState = {
 	known: KnownServer;
 	/**
-	Names the life of the server.
+	Identifies the incarnation of the server.
 	*/
 	readonly incarnationId: string;
 	/**
-	Requests of this node that are under way at it.
+	Requests of this node in flight at the server.
 	*/
 	inFlight: number;
 	/**
-	Those among them that were at a server that crashed.
+	Those of them that were in flight at a server when it crashed.
 	*/
 	crashSuspects: number;
 	/**
-	This node's requests that are under way at all servers of the service.
+	Requests of this node in flight at all servers of the service.
 	*/
 	readonly serviceInFlight: SmoothedCount;
 	/**
-	Requests of other nodes by what the server said last, and when it said so.
+	Requests of other nodes according to the load that the server stated last, and the time of the statement.
 	*/
 	statedLoad: {readonly others: number; readonly at: number} | undefined;
 	/**
-	Milliseconds between two pieces of a stream of this server, the latest ones counting most.
+	Moving average of the time between two chunks of a stream of this server, in milliseconds.
 	*/
 	chunkIntervalMs: number;
 	chunkIntervalAt: number;
 	/**
-	Tokens of prompts that this node sent and that have not begun to be answered.
+	Tokens of this node's prompts whose responses have not begun.
 	*/
 	pendingTokens: number;
 	/**
-	Tokens of long prompts among them, as this node tells the others of its region.
+	Tokens of the long prompts among them, as last broadcast to the other nodes of the region.
 	*/
 	broadcastTokens: number;
 	/**
-	Tokens of long prompts of other nodes that are still to be read.
+	Tokens of long prompts of other nodes that the server has not processed yet.
 	*/
 	readonly peerPrefillBacklog: PeerPrefillBacklog;
 	/**
-	How fast engines of the service read.
+	Prefill speed of the engines of the service.
 	*/
 	readonly prefillSpeed: PrefillSpeed;
 	/**
-	Requests that have not begun to be answered.
+	Requests whose responses have not begun.
 	*/
 	readonly pending: Set<{since: number}>;
 	lastActivityAt: number;
 	/**
-	From 0 to 1, the latest outcomes counting most.
+	Moving average of failed attempts, from 0 to 1.
 	*/
 	failureRate: number;
 	isSuspect: boolean;
 	/**
-	When it was found silent, while it is asked whether it lives; it stays in use meanwhile.
+	Start of the health probe of a silent server; the server stays in use during the probe.
 	*/
 	probingSince: number | undefined;
 	/**
-	When it last answered a question for its health.
+	Time of its last response to a health probe.
 	*/
 	lastProbeAnswerAt: number;
 	isPossiblyCold: boolean;
 	probedAt: number;
 	/**
-	When this node sent it requests while it was cold.
+	Send times of this node's latest requests to the server while it was cold.
 	*/
 	coldSentAt: number[];
 	readonly promptCache: PromptCacheEstimate;
 };
 
 /**
-A server that owes an answer and has sent nothing for so long is asked whether it lives, in
-milliseconds. An engine that reads long prompts sends nothing to a node for longer than that, so
-silence alone proves nothing.
+Time without activity after which a server with pending requests is probed, in milliseconds. An engine that processes long
+prompts can be silent for longer, so silence alone does not prove a failure.
 */
 export const silenceThresholdMs = 600;
 
 /**
-How long a silent server has to answer, in milliseconds: a slot of a full server becomes free many
-times in this time.
+Deadline for the answer of a probed server, in milliseconds. Slots of a fully loaded server become free many times within it.
 */
 export const probeAnswerDeadlineMs = 500;
 
 /**
-Time without bytes on an open response after which a server is ejected, in milliseconds, whatever its health checks
-say. Callers give up on a stream after about two seconds of silence.
+Time without bytes on an open response after which a server is ejected, in milliseconds, regardless of its health checks.
+Callers give up on a stream after about two seconds of silence.
 */
 export const maximumSilenceMs = 2500;
 
 /**
-Builds the state of a server that was sent nothing yet.
+Creates the state of a server to which no request has been sent.
 */
 export const createServerState = (
 	known: KnownServer,
@@ -139,7 +137,7 @@
 });
 
 /**
-Whether a server is cold, or may be for all that is known.
+Whether a server is cold or possibly cold.
 */
 export const isCold = (
 	{isPossiblyCold, known}: ServerState,
@@ -147,7 +145,7 @@
 ): boolean => isPossiblyCold || known.coldUntil > now;
 
 /**
-How long a server has owed answers without a sign of life, in milliseconds.
+Returns the time without activity of a server with pending requests, in milliseconds; 0 without pending requests.
 */
 export const silentFor = (
 	{pending, lastActivityAt}: ServerState,
@@ -162,13 +160,13 @@
 };
 
 /**
-Moves what is counted by this node's own watching on by a leap of its clock. A server would otherwise seem silent for the
-whole of it, and a cold one warm.
+Shifts the times in a state by a jump of this node's clock. Otherwise a server would appear silent for the duration of the
+jump, and a cold server would appear warm.
 */
 export const shiftTimes = (state: ServerState, ms: number): void => {
 	state.lastActivityAt += ms;
-	for (const waiting of state.pending) {
-		waiting.since += ms;
+	for (const request of state.pending) {
+		request.since += ms;
 	}
 
 	state.coldSentAt = state.coldSentAt.map((at) => at + ms);
@@ -177,7 +175,7 @@
 };
 
 /**
-Tokens that a server has still to read, of this node's prompts and of the long ones of others.
+Returns the tokens that a server has not processed yet: of this node's prompts and of the long prompts of other nodes.
 */
 export const prefillBacklogOf = (
 	{pendingTokens, peerPrefillBacklog}: ServerState,
--- a/src/backends/smoothed-count.ts
+++ b/src/backends/smoothed-count.ts
@@ -1,41 +1,41 @@
 /**
-A count that goes up and down, and its mean over the last seconds.
+A counter with an exponential moving average.
 */
 export type SmoothedCount = {
 	add(change: number, now: number): void;
 	/**
-	The mean, what was lately counting most.
+	The exponential moving average of the count.
 	*/
 	mean(now: number): number;
 };
 
 /**
-How long the past counts, in milliseconds: the time in which its weight falls to a third. Long enough for
-a node of many to have sent some requests, short enough to follow a rush of callers.
+Time constant of the moving average, in milliseconds: the weight of a value falls to about a third in this time. It is long
+enough for each of many nodes to have sent some requests, and short enough to follow a surge of callers.
 */
 export const smoothingMs = 2000;
 
 /**
-Builds a count of nothing.
+Creates a counter at 0.
 */
 export const createSmoothedCount = (): SmoothedCount => {
 	let count = 0;
 	let mean = 0;
-	let countedAt = -Infinity;
+	let updatedAt = -Infinity;
 
-	const catchUp = (now: number) => {
-		const passed = Math.max(0, now - countedAt);
-		mean += (count - mean) * (1 - Math.exp(-passed / smoothingMs));
-		countedAt = Math.max(countedAt, now);
+	const update = (now: number) => {
+		const elapsedMs = Math.max(0, now - updatedAt);
+		mean += (count - mean) * (1 - Math.exp(-elapsedMs / smoothingMs));
+		updatedAt = Math.max(updatedAt, now);
 	};
 
 	return {
 		add(change, now) {
-			catchUp(now);
+			update(now);
 			count += change;
 		},
 		mean(now) {
-			catchUp(now);
+			update(now);
 			return mean;
 		},
 	};
--- a/src/backends/stated-load.ts
+++ b/src/backends/stated-load.ts
@@ -1,42 +1,42 @@
 import {Result} from 'true-myth';
 
 /**
-What a backend server says of its load in an answer: requests of all nodes.
+Load that a backend server states in a response. It counts the requests of all nodes.
 */
 export type StatedLoad = {
 	readonly running: number;
 	readonly waiting: number;
 	/**
-	Requests that it runs at the same time.
+	Maximum number of requests that run concurrently.
 	*/
 	readonly slots: number;
 };
 
-// No server runs or queues as many requests as this; a greater number is a fault of its own.
-const largestCount = 1_000_000;
+// A larger number is rejected as invalid, because no server runs or queues that many requests.
+const maximumCount = 1_000_000;
 
-const parts = 3;
+const fieldCount = 3;
 
-// Hoisted: the bundler does not share literals between calls.
+// Declared here because the bundler does not share literals between calls.
 const digitsOnly = /^\d+$/v;
 
 /**
-Reads `RUNNING,WAITING,SLOTS`; the error says what is wrong with it.
+Parses `RUNNING,WAITING,SLOTS`; the error describes what is invalid.
 */
 export const parseStatedLoad = (text: string): Result<StatedLoad, string> => {
 	const fields = text.split(',').map((field) => field.trim());
-	if (fields.length !== parts) {
-		return Result.err('it has not three numbers');
+	if (fields.length !== fieldCount) {
+		return Result.err('expected three numbers');
 	}
 
 	const isCount = (field: string) =>
-		digitsOnly.test(field) && Number(field) <= largestCount;
+		digitsOnly.test(field) && Number(field) <= maximumCount;
 	if (fields.some((field) => !isCount(field))) {
-		return Result.err('one of its numbers is no count of requests');
+		return Result.err('expected three counts of requests');
 	}
 
 	const [running = 0, waiting = 0, slots = 0] = fields.map(Number);
 	return running > slots
-		? Result.err('more requests run than there are slots')
+		? Result.err('more requests running than slots')
 		: Result.ok({running, waiting, slots});
 };
--- a/src/backends/upstream-client.ts
+++ b/src/backends/upstream-client.ts
@@ -7,47 +7,47 @@
 */
 export type UpstreamCall = {
 	/**
-	Names the connections to use: all calls under one key share them.
+	Identifies the connection pool; all calls with the same key share it.
 	*/
 	readonly key: string;
 	readonly address: Address;
 	/**
-	The most connections under the key; used when its first call is made.
+	Maximum number of connections in the pool; applied when the first call of the key creates the pool.
 	*/
 	readonly maximumConnections: number;
 	/**
-	Whether the connection is closed when the call ends; it rests for the next one otherwise.
+	Whether the connection is closed when the call ends. Otherwise, it stays open for the next call.
 	*/
 	readonly isLastOnConnection?: boolean;
 	/**
-	How long a connection may take to come up, in milliseconds; used when its first call is made.
+	Connect time-out in milliseconds; applied when the first call of the key creates the pool.
 	*/
 	readonly connectTimeoutMs: number;
 	readonly method: string;
 	readonly target: string;
 	/**
-	Names and values in turn.
+	Alternating names and values.
 	*/
 	readonly headers: readonly string[];
 	readonly body: Buffer | undefined;
 	/**
-	Asked just before the first byte is written; the call fails unsent where it returns false. A call may wait for a
-	connection meanwhile.
+	Called just before the first byte is written, because a call may have waited for a connection. If it returns false, the call
+	fails without being sent.
 	*/
 	readonly canBegin?: () => boolean;
 };
 
 /**
-The head of an answer.
+Status and headers of a response.
 */
 export type UpstreamHead = {
 	readonly status: number;
 	/**
-	By names in lower case; of repeated headers the first.
+	Returns a header by its name in lower case; the first one if it is repeated.
 	*/
 	readonly header: (name: string) => string | undefined;
 	/**
-	Names and values in turn, as they came.
+	Alternating names and values, as received.
 	*/
 	readonly rawHeaders: readonly string[];
 };
@@ -57,22 +57,22 @@
 */
 export type UpstreamFailure = {
 	/**
-	Whether any byte may have left this node.
+	Whether any byte of the request may have been sent.
 	*/
 	readonly wasSent: boolean;
 	/**
-	Whether nobody listens at the address.
+	Whether the connection was refused.
 	*/
 	readonly isRefused?: boolean;
 	/**
-	Whether the call was withdrawn before its first byte.
+	Whether the call was withdrawn before its first byte was sent.
 	*/
 	readonly isWithdrawn?: boolean;
 	readonly reason: string;
 };
 
 /**
-Told how a call goes on: at most one head, then data, then either an end or a failure.
+Receives the events of a call: at most one head, then data, then either an end or a failure.
 */
 export type UpstreamListener = {
 	onHead(head: UpstreamHead): void;
@@ -85,55 +85,53 @@
 };
 
 /**
-A call under way.
+A call in progress.
 */
 export type OpenCall = {
 	/**
-	Ends the call and its connection; the listener hears nothing more.
+	Ends the call and closes its connection; the listener receives no further events.
 	*/
 	abort(): void;
 	resume(): void;
 };
 
 /**
-Makes HTTP calls over kept connections.
+HTTP client with persistent connections.
 */
 export type UpstreamClient = {
 	call(call: UpstreamCall, listener: UpstreamListener): OpenCall;
 	/**
-	Uses no connection under the key again; calls under way go on.
+	Stops using the connections of a key; calls in progress continue.
 	*/
 	forget(key: string): void;
 	connectionsOpened(): number;
 	/**
-	Whether a connection under the key is open and carries no call.
+	Whether an open connection of the key is idle.
 	*/
 	hasIdleConnection(key: string): boolean;
 	close(): Promise<void>;
 };
 
 /**
-How long a connection to another node may take to come up, in milliseconds: several round trips between
-regions.
+Connect time-out for another node, in milliseconds. It allows for several round trips between regions.
 */
 export const peerConnectTimeoutMs = 800;
 
 /**
-How long a connection to a backend server may take to come up, in milliseconds. Servers are of the own
-region, where it takes a few; one that has gone dark lets each attempt hang, and the requests that wait for it
-have a second or so in all.
+Connect time-out for a backend server, in milliseconds. Within the local region, connecting takes a few milliseconds. Attempts to
+connect to an unreachable server hang, and the requests that wait for them have about one second in total.
 */
 export const backendConnectTimeoutMs = 300;
 
 /**
-How long a connection without a stated time rests at most, in milliseconds. Backend servers that
-state none close after less than a second.
+Maximum idle time of a connection whose server states no keep-alive time-out, in milliseconds. Such servers close idle connections
+in less than a second.
 */
 export const defaultIdleTimeoutMs = 600;
 
 /**
-A resting connection is closed this long before its stated time is over, in milliseconds, so that
-no request crosses the other side's close.
+Time before the stated keep-alive time-out at which an idle connection is closed, in milliseconds. It prevents a request from
+being sent while the server closes the connection.
 */
 export const idleMarginMs = 900;
 
@@ -141,7 +139,7 @@
 const refusedCode = 'ECONNREFUSED';
 
 /**
-Builds a client without connections.
+Creates a client without connections.
 */
 export const createUpstreamClient = (): UpstreamClient => {
 	const pools = new Map<string, Pool>();
@@ -163,8 +161,8 @@
 					return;
 				}
 
-				// The library takes an answer without a length that is cut by a reset for whole. Under
-				// another code the same error fails the call, and this listener runs before the library's.
+				// Undici treats a response without a length as complete if the connection is reset. With a different error code, it
+				// fails the call. This listener runs before that of undici.
 				socket.on('error', (failure: NodeJS.ErrnoException) => {
 					if (failure.code === resetCode) {
 						failure.code = 'ERR_CONNECTION_RESET_BY_PEER';
@@ -212,13 +210,13 @@
 						path: call.target,
 						headers: call.headers as string[],
 						body: call.body ?? null,
-						// Left out otherwise: the library then decides by itself which connections can go on.
+						// Omitted if false, so that undici decides which connections can be reused.
 						...(call.isLastOnConnection && {reset: true}),
 					},
 					state.handler,
 				);
 			} catch (error) {
-				// Deferred: the caller must hold the call before it hears of its failure.
+				// Deferred so that the caller has received the call before its listener receives the failure.
 				queueMicrotask(() => {
 					state.fail(error as Error);
 				});
--- a/tests/backends/backend-fleet.test.ts
+++ b/tests/backends/backend-fleet.test.ts
@@ -72,20 +72,20 @@
 	}
 });
 
-test('a silent server is asked, and found silent when it does not answer', () => {
+test('a silent server is probed, and becomes suspect if it does not answer', () => {
 	const fleet = setUp(['a']);
 	fleet.begin('a', placementOf(), 0);
 	assert.deepEqual(fleet.tick(silenceThresholdMs), []);
 	assert.deepEqual(fleet.dueProbes(silenceThresholdMs), []);
-	const askedAt = silenceThresholdMs + 1;
-	assert.deepEqual(fleet.tick(askedAt), []);
-	assert.deepEqual(fleet.dueProbes(askedAt), ['a']);
-	assert.equal(idOf(fleet.choose(placementOf(), askedAt)), 'a');
-	assert.deepEqual(fleet.tick(askedAt + probeAnswerDeadlineMs - 1), []);
-	const foundAt = askedAt + probeAnswerDeadlineMs;
-	assert.deepEqual(fleet.tick(foundAt), ['a']);
-	assert.equal(idOf(fleet.choose(placementOf(), foundAt)), 'none');
-	const probeAt = foundAt + probeIntervalMs;
+	const probedAt = silenceThresholdMs + 1;
+	assert.deepEqual(fleet.tick(probedAt), []);
+	assert.deepEqual(fleet.dueProbes(probedAt), ['a']);
+	assert.equal(idOf(fleet.choose(placementOf(), probedAt)), 'a');
+	assert.deepEqual(fleet.tick(probedAt + probeAnswerDeadlineMs - 1), []);
+	const suspectAt = probedAt + probeAnswerDeadlineMs;
+	assert.deepEqual(fleet.tick(suspectAt), ['a']);
+	assert.equal(idOf(fleet.choose(placementOf(), suspectAt)), 'none');
+	const probeAt = suspectAt + probeIntervalMs;
 	assert.deepEqual(fleet.dueProbes(probeAt - 1), []);
 	assert.deepEqual(fleet.dueProbes(probeAt), ['a']);
 	fleet.recordProbeResult('a', undefined, probeAt);
@@ -94,7 +94,7 @@
 	assert.ok(!fleet.isSuspect('a'));
 });
 
-test('a silent server that says it lives stays in use, but not for ever', () => {
+test('a silent server that answers probes stays in use until the maximum silence', () => {
 	const fleet = setUp(['a']);
 	fleet.begin('a', placementOf(), 0);
 	for (let now = 0; now <= maximumSilenceMs; now += 100) {
@@ -108,7 +108,7 @@
 	assert.deepEqual(fleet.tick(maximumSilenceMs + 1), ['a']);
 });
 
-test('a server that answers others is not silent', () => {
+test('a server that answers other requests is not silent', () => {
 	const fleet = setUp(['a']);
 	fleet.begin('a', placementOf(), 0);
 	const other = fleet.begin('a', placementOf(), 0);
@@ -116,7 +116,7 @@
 	assert.deepEqual(fleet.tick(silenceThresholdMs + 100), []);
 });
 
-test('a cold server gets its share of a second and no more', () => {
+test('a cold server gets no more than its share per second', () => {
 	const fleet = setUp(['a'], {coldUntil: 10_000});
 	let sent = 0;
 	while (idOf(fleet.choose(placementOf(), 0)) === 'a') {
@@ -130,7 +130,7 @@
 	assert.equal(idOf(early.choose(placementOf(), 0)), 'full');
 });
 
-test('a server that fails is used less than a sound one', () => {
+test('a server that fails requests is used less than a healthy one', () => {
 	const fleet = setUp(['a', 'b']);
 	for (let index = 0; index < 20; index += 1) {
 		fleet.begin('a', placementOf(), 0).end('failed', 1);
@@ -139,7 +139,7 @@
 	assert.equal(idOf(fleet.choose(placementOf(), 2)), 'b');
 });
 
-test('room is shared among the nodes that serve', () => {
+test('the serving nodes share the capacity of a server', () => {
 	const fleet = setUp(['a'], {nodesServing: () => 4});
 	let sent = 0;
 	while (idOf(fleet.choose(placementOf(), 0)) === 'a') {
@@ -150,7 +150,7 @@
 	assert.equal(sent, 3);
 });
 
-test('a server that is distrusted is cold until it was asked', () => {
+test('a possibly cold server is treated as cold until it is probed', () => {
 	const fleet = setUp(['a']);
 	fleet.markPossiblyCold(['a']);
 	assert.deepEqual(fleet.dueProbes(0), ['a']);
@@ -158,7 +158,7 @@
 	assert.deepEqual(fleet.dueProbes(10_000), []);
 });
 
-test('nodes that know the same choose differently among servers that look alike', () => {
+test('nodes with the same knowledge choose differently among servers with similar costs', () => {
 	const chosen = [0, 0.9].map((first) => {
 		const draws = [first, 0.5, 0.5][Symbol.iterator]();
 		const fleet = setUp(['a', 'b', 'c'], {
@@ -169,7 +169,7 @@
 	assert.deepEqual(chosen, ['a', 'b']);
 });
 
-test('a long prompt that nobody keeps is read where less is to be read, one that is kept stays longer', () => {
+test('an uncached long prompt goes to a server with less backlog, and a cached one stays longer', () => {
 	const placement = placementOf({
 		sharedPart: part,
 		promptTokens: 17_000,
@@ -182,20 +182,20 @@
 	unknown.begin(home, other, 0);
 	assert.notEqual(idOf(unknown.choose(placement, 0)), home);
 
-	const keep = () =>
+	const createCached = () =>
 		setUp(['a', 'b', 'c'], {isCached: (server) => server === home});
 	const short = placementOf({promptTokens: 5000, targetMs: 1000});
-	const kept = keep();
-	const roomOfServer = 12;
-	for (let index = 1; index < roomOfServer; index += 1) {
-		kept.begin(home, short, 0);
-		assert.equal(idOf(kept.choose(placement, 0)), home);
+	const cached = createCached();
+	const serverCapacity = 12;
+	for (let index = 1; index < serverCapacity; index += 1) {
+		cached.begin(home, short, 0);
+		assert.equal(idOf(cached.choose(placement, 0)), home);
 	}
 
-	kept.begin(home, short, 0);
-	assert.notEqual(idOf(kept.choose(placement, 0)), home);
+	cached.begin(home, short, 0);
+	assert.notEqual(idOf(cached.choose(placement, 0)), home);
 
-	const busy = keep();
+	const busy = createCached();
 	busy.begin(home, other, 0);
 	assert.equal(idOf(busy.choose(placement, 0)), home);
 	const readsForSeconds = placementOf({promptTokens: 300_000, targetMs: 1000});
@@ -203,7 +203,7 @@
 	assert.notEqual(idOf(busy.choose(placement, 0)), home);
 });
 
-test('where a long prompt was sent last, the next one with the same part goes too', () => {
+test('a long prompt goes to the server that last received the same part', () => {
 	const placement = placementOf({
 		sharedPart: part,
 		promptTokens: 17_000,
@@ -218,10 +218,10 @@
 	assert.equal(idOf(fleet.choose(placement, 2)), second);
 });
 
-test('a node among many has more room for long prompts than for others', () => {
+test('a node among many has more capacity for long prompts than for other prompts', () => {
 	const short = placementOf();
 	const long = placementOf({sharedPart: part});
-	const taken = (placement: Placement) => {
+	const capacityFor = (placement: Placement) => {
 		const fleet = setUp(['a'], {nodesServing: () => 20});
 		let count = 0;
 		while (fleet.choose(placement, 0).kind === 'server') {
@@ -232,11 +232,11 @@
 		return count;
 	};
 
-	assert.equal(taken(short), 1);
-	assert.equal(taken(long), 4);
+	assert.equal(capacityFor(short), 1);
+	assert.equal(capacityFor(long), 4);
 });
 
-test('a server that has started again under its id is as one that was never seen', () => {
+test('the state of a server that restarts under the same id is reset', () => {
 	const fleet = setUp(['a']);
 	const placement = placementOf({
 		sharedPart: part,
@@ -255,7 +255,7 @@
 	assert.deepEqual(restarted, ['a']);
 	assert.equal(fleet.isSuspect('a'), false);
 	assert.equal(fleet.loadOf('engine', 100).load, 0);
-	// What the earlier life owed ends without touching the later one.
+	// Attempts at the previous incarnation end without affecting the current one.
 	for (const attempt of attempts) {
 		attempt.end('failed', 200);
 	}
@@ -270,7 +270,7 @@
 	);
 });
 
-test('a leap of the clock makes no server silent, and no cold one warm', () => {
+test('a clock jump does not make a server silent or a cold server warm', () => {
 	const fleet = setUp(['a'], {coldUntil: 3000});
 	while (idOf(fleet.choose(placementOf(), 100)) === 'a') {
 		fleet.begin('a', placementOf(), 100);
--- a/tests/backends/cold-limit.test.ts
+++ b/tests/backends/cold-limit.test.ts
@@ -10,7 +10,7 @@
 import {createNodeOrder} from '../../src/shared/index.ts';
 
 const bound = {requestsPerSecond: 9.7, overrun: 1.5, slack: 3};
-const whole = bound.requestsPerSecond * bound.overrun + bound.slack;
+const totalBound = bound.requestsPerSecond * bound.overrun + bound.slack;
 
 const nodesOf = (count: number) =>
 	Array.from({length: count}, (_, index) => `node-${index}`);
@@ -25,7 +25,7 @@
 	return coldShare(given, rank(server), nodes.length);
 };
 
-test('the shares of all nodes together stay within the bound, however many there are', () => {
+test('the shares of any number of nodes stay within the bound', () => {
 	fc.assert(
 		fc.property(fc.integer({min: 1, max: 60}), fc.uuid(), (count, server) => {
 			const nodes = nodesOf(count);
@@ -34,12 +34,12 @@
 				0,
 			);
 			assert.ok(sum > 0);
-			assert.ok(sum <= whole);
+			assert.ok(sum <= totalBound);
 		}),
 	);
 });
 
-test('a node that one other has not heard of yet does not break the bound', () => {
+test('the bound holds while the other nodes do not know one node yet', () => {
 	fc.assert(
 		fc.property(fc.integer({min: 2, max: 20}), fc.uuid(), (count, server) => {
 			const all = nodesOf(count + 1);
@@ -50,12 +50,12 @@
 					(total, node) => total + shareOf(bound, server, node, others),
 					0,
 				);
-			assert.ok(sum <= whole, `${sum} of ${whole}`);
+			assert.ok(sum <= totalBound, `${sum} of ${totalBound}`);
 		}),
 	);
 });
 
-test('a cold server that bears a few requests a second gets some of them, however many nodes there are', () => {
+test('a cold server with a bound of a few requests per second gets some requests from any number of nodes', () => {
 	fc.assert(
 		fc.property(
 			fc.integer({min: 1, max: 380}),
@@ -64,20 +64,20 @@
 			fc.integer({min: 0, max: 3}),
 			(count, server, requestsPerSecond, slack) => {
 				const small = {requestsPerSecond, overrun: 1.5, slack};
-				const bears = requestsPerSecond * 1.5 + slack;
+				const allowed = requestsPerSecond * 1.5 + slack;
 				const nodes = nodesOf(count);
 				const sum = nodes.reduce(
 					(total, node) => total + shareOf(small, server, node, nodes),
 					0,
 				);
-				assert.ok(sum <= bears, `${sum} of ${bears}`);
-				assert.ok(bears < 1 || sum > 0, `none of ${bears}`);
+				assert.ok(sum <= allowed, `${sum} of ${allowed}`);
+				assert.ok(allowed < 1 || sum > 0, `none of ${allowed}`);
 			},
 		),
 	);
 });
 
-test('only a few nodes send to one cold server', () => {
+test('only the maximum number of senders send to one cold server', () => {
 	const nodes = nodesOf(40);
 	const senders = nodes.filter(
 		(node) => shareOf(bound, 'server', node, nodes) > 0,
@@ -85,7 +85,7 @@
 	assert.equal(senders.length, maximumColdSenders);
 });
 
-test('a share counts the requests of any second, wherever it lies', () => {
+test('a share counts the requests of a sliding window of one second', () => {
 	assert.ok(isWithinColdShare([0, 100], 3, 900));
 	assert.ok(!isWithinColdShare([0, 100, 200], 3, 900));
 	assert.ok(isWithinColdShare([0, 100, 200], 3, 1200));
--- a/tests/backends/estimated-load.test.ts
+++ b/tests/backends/estimated-load.test.ts
@@ -14,7 +14,7 @@
 	excluded: new Set<string>(),
 };
 
-const stateWith = (
+const stateOf = (
 	inFlight: number,
 	stated?: {readonly others: number; readonly at: number},
 ) => ({
@@ -23,19 +23,19 @@
 	statedLoad: stated,
 });
 
-test('without a statement the other nodes are taken to hold as many requests', (t: TestContext) => {
-	t.assert.strictEqual(estimatedLoad(stateWith(4), 3, 0), 12);
+test('without a statement, each other node is assumed to have as many requests as this one', (t: TestContext) => {
+	t.assert.strictEqual(estimatedLoad(stateOf(4), 3, 0), 12);
 });
 
-test('what a server states of the others counts, and the less the older it is', (t: TestContext) => {
-	const state = stateWith(4, {others: 20, at: 0});
+test('the weight of a stated load decreases with its age', (t: TestContext) => {
+	const state = stateOf(4, {others: 20, at: 0});
 	t.assert.strictEqual(estimatedLoad(state, 3, 0), 24);
 	t.assert.strictEqual(estimatedLoad(state, 3, statedLoadMaximumAgeMs / 2), 18);
 	t.assert.strictEqual(estimatedLoad(state, 3, statedLoadMaximumAgeMs), 12);
 	t.assert.strictEqual(estimatedLoad(state, 3, statedLoadMaximumAgeMs * 9), 12);
 });
 
-test('a server that others have filled is not chosen, one that they left is', (t: TestContext) => {
+test('a server that other nodes have filled is not chosen, and one with free capacity is', (t: TestContext) => {
 	const fleet = createBackendFleet({
 		...fleetOptionsOf(),
 		nodesServing: () => 2,
@@ -53,14 +53,14 @@
 	t.assert.strictEqual(choice.kind === 'server' && choice.id, 'b');
 	load('b', 4, 5);
 	t.assert.strictEqual(fleet.choose(placement, 0).kind, 'full');
-	// By then nothing is left of what was stated.
+	// The stated loads have expired by then.
 	t.assert.strictEqual(
 		fleet.choose(placement, statedLoadMaximumAgeMs).kind,
 		'server',
 	);
 });
 
-test('a server whose streams are slow is left for one whose streams are not, until that is long ago', (t: TestContext) => {
+test('a server with slow streams is avoided until the measurement expires', (t: TestContext) => {
 	const fleet = createBackendFleet(fleetOptionsOf());
 	fleet.sync(new Map(['a', 'b'].map((id) => [id, knownServerOf(id, 64)])), 0);
 	const slow = fleet.begin('a', placement, 0);
--- a/tests/backends/many-nodes.test.ts
+++ b/tests/backends/many-nodes.test.ts
@@ -1,5 +1,5 @@
-// Plays the light requests of one region by way of few and of many nodes, and checks which servers the
-// nodes choose: there is no network, and each node sees its own requests only.
+// Guards against nodes that misjudge the load of servers when many nodes share a region: each node knows only its own requests.
+// Simulates light requests through few and many nodes without a network and checks which servers the nodes choose.
 import {test, type TestContext} from 'node:test';
 import {
 	createBackendFleet,
@@ -14,11 +14,11 @@
 const slots = 16;
 const requestsPerSecond = 600;
 const holdMs = 250;
-const spanMs = 10_000;
-// The means are not known before.
-const warmMs = 4000;
-// Beyond this cost a node looks for another region.
-const comfortableCost = 1;
+const durationMs = 10_000;
+// Time until the moving averages are meaningful.
+const warmUpMs = 4000;
+// Above this cost, a node considers other regions.
+const regionalCostLimit = 1;
 
 const placement = {
 	service: 'engine',
@@ -27,18 +27,21 @@
 	excluded: new Set<string>(),
 };
 
-type Played = {
+type Result = {
 	/**
-	Part of the requests that would have looked for another region.
+	Fraction of the requests for which another region would have been considered.
 	*/
-	readonly uncomfortable: number;
+	readonly expensive: number;
 	/**
-	The most requests that were under way at one server.
+	Maximum number of requests in flight at one server.
 	*/
-	readonly busiest: number;
+	readonly maximumInFlight: number;
 };
 
-const play = (nodes: number, without: readonly Mechanism[] = []): Played => {
+const simulate = (
+	nodes: number,
+	without: readonly Mechanism[] = [],
+): Result => {
 	const random = createRandom(7);
 	const fleets: BackendFleet[] = Array.from({length: nodes}, () => {
 		const fleet = createBackendFleet({
@@ -55,26 +58,26 @@
 		readonly attempt: BackendAttempt;
 		readonly until: number;
 	}> = [];
-	const underWay = new Map<string, number>();
-	let uncomfortable = 0;
-	let asked = 0;
-	let busiest = 0;
+	const inFlight = new Map<string, number>();
+	let expensive = 0;
+	let total = 0;
+	let maximumInFlight = 0;
 	const endUntil = (now: number) => {
 		while (held[0] && held[0].until <= now) {
 			const {attempt} = held.shift()!;
-			underWay.set(attempt.server, underWay.get(attempt.server)! - 1);
+			inFlight.set(attempt.server, inFlight.get(attempt.server)! - 1);
 			attempt.end('answered', now);
 		}
 	};
 
-	for (let now = 0; now < spanMs; now += 1000 / requestsPerSecond) {
+	for (let now = 0; now < durationMs; now += 1000 / requestsPerSecond) {
 		endUntil(now);
 		const fleet = fleets[random.below(nodes)]!;
 		const choice = fleet.choose(placement, now);
-		if (now > warmMs) {
-			asked += 1;
-			uncomfortable +=
-				choice.kind === 'server' && choice.cost <= comfortableCost ? 0 : 1;
+		if (now > warmUpMs) {
+			total += 1;
+			expensive +=
+				choice.kind === 'server' && choice.cost <= regionalCostLimit ? 0 : 1;
 		}
 
 		if (choice.kind !== 'server') {
@@ -84,23 +87,26 @@
 		const attempt = fleet.begin(choice.id, placement, now);
 		attempt.recordFirstEvent(now);
 		held.push({attempt, until: now + holdMs});
-		const count = (underWay.get(choice.id) ?? 0) + 1;
-		underWay.set(choice.id, count);
-		busiest = Math.max(busiest, count);
+		const count = (inFlight.get(choice.id) ?? 0) + 1;
+		inFlight.set(choice.id, count);
+		maximumInFlight = Math.max(maximumInFlight, count);
 	}
 
-	return {uncomfortable: uncomfortable / asked, busiest};
+	return {expensive: expensive / total, maximumInFlight};
 };
 
 for (const nodes of [3, 20, 65]) {
-	test(`half of a region's room is used without another region by way of ${nodes} nodes`, (t: TestContext) => {
-		const {uncomfortable, busiest} = play(nodes);
-		t.assert.ok(uncomfortable < 0.01, `${uncomfortable} of the requests`);
-		t.assert.ok(busiest <= slots * 1.5, `${busiest} requests at one server`);
+	test(`${nodes} nodes use half of a region's capacity without considering other regions`, (t: TestContext) => {
+		const {expensive, maximumInFlight} = simulate(nodes);
+		t.assert.ok(expensive < 0.01, `${expensive} of the requests`);
+		t.assert.ok(
+			maximumInFlight <= slots * 1.5,
+			`${maximumInFlight} requests at one server`,
+		);
 	});
 }
 
-test('taken by its one request of the moment a node among many finds idle servers full', (t: TestContext) => {
-	const {uncomfortable} = play(65, ['smoothed-load']);
-	t.assert.ok(uncomfortable > 0.1, `${uncomfortable} of the requests`);
+test('without smoothing, a node among many considers idle servers full', (t: TestContext) => {
+	const {expensive} = simulate(65, ['smoothed-load']);
+	t.assert.ok(expensive > 0.1, `${expensive} of the requests`);
 });
--- a/tests/backends/prefill-backlog.test.ts
+++ b/tests/backends/prefill-backlog.test.ts
@@ -1,5 +1,6 @@
-// Plays long and short prompts of one region by way of many nodes, with engines that read one prompt after another and
-// keep what they have read, and looks at when answers begin. There is no network: what nodes tell arrives at once.
+// Guards against requests that wait behind long prompts of other nodes. Many nodes of one region send long and short prompts to
+// engines that process one prompt at a time and cache the shared parts; the simulation measures when responses begin. There is no
+// network: messages between nodes arrive immediately.
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
@@ -16,29 +17,29 @@
 const nodeCount = 20;
 const slots = 16;
 const tokensPerMs = 64;
-const spanMs = 20_000;
-const answerMs = 200;
+const durationMs = 20_000;
+const responseMs = 200;
 const long = {targetMs: 1000, shared: 13_300, own: 3700};
 const short = {perSecond: 500, targetMs: 800, own: 380};
 
 /**
-Parts of the prompts that began later than after a quarter of their target time.
+Fractions of the prompts whose responses began after more than a quarter of their target time.
 */
-type Played = {
+type Result = {
 	readonly lateLong: number;
 	readonly lateShort: number;
 	/**
-	Shared parts that were read though some engine kept them.
+	Number of shared parts that were processed although another engine had cached them.
 	*/
-	readonly readAgain: number;
+	readonly prefilledAgain: number;
 };
 
 /**
-Long prompts of a second, and the parts that they share.
+Long prompts per second, and the number of parts that they share.
 */
 type Mix = {readonly longPerSecond: number; readonly parts: number};
 
-// Few of many parts are kept anywhere when they are asked for. A hot part is kept by one engine at first.
+// With many parts, few are cached when they are requested. Each hot part is cached by one engine at the start.
 const manyParts: Mix = {longPerSecond: 32, parts: 300};
 const hotParts: Mix = {longPerSecond: 40, parts: 2};
 
@@ -50,7 +51,7 @@
 
 type Event = {readonly at: number; readonly run: () => void};
 
-// Some parts are asked for far more often than others.
+// Some parts are requested far more often than others.
 const partOf = (random: Random, parts: number): string =>
 	`part-${Math.floor(random.fraction() ** 1.5 * parts)}`;
 
@@ -62,7 +63,7 @@
 		const requests: Request[] = [];
 		for (
 			let at = 0;
-			at < spanMs;
+			at < durationMs;
 			at += (-Math.log(1 - random.fraction()) * 1000) / perSecond
 		) {
 			const part = isLong ? partOf(random, parts) : undefined;
@@ -94,21 +95,21 @@
 				excluded: new Set<string>(),
 			};
 
-const play = (
+const simulate = (
 	without: readonly Mechanism[],
 	seed: number,
 	mix: Mix,
-): Played => {
+): Result => {
 	const random = createRandom(seed);
-	// Each hot part is kept by one engine at first.
-	const kept = new Map(
+	// Each hot part is cached by one engine at the start.
+	const cached = new Map(
 		engines.map((id, index) => [
 			id,
 			new Set(mix === hotParts && index < mix.parts ? [`part-${index}`] : []),
 		]),
 	);
 	const freeAt = new Map(engines.map((id) => [id, 0]));
-	const isTold = !without.includes('told-reading');
+	const isShared = !without.includes('told-reading');
 	let now = 0;
 	let sequence = 0;
 	const fleets: BackendFleet[] = Array.from({length: nodeCount}, (_, self) => {
@@ -117,10 +118,10 @@
 			without: new Set(without),
 			nodesServing: () => nodeCount,
 			service: () => serviceOf({engine: {slots, memoryTokens: 330_000}}),
-			isCached: (server, part) => kept.get(server)!.has(part),
+			isCached: (server, part) => cached.get(server)!.has(part),
 			sendPrefillBacklog(server, tokens) {
 				sequence += 1;
-				for (const [other, each] of isTold ? fleets.entries() : []) {
+				for (const [other, each] of isShared ? fleets.entries() : []) {
 					if (other !== self) {
 						const from = String(self);
 						each.recordPeerPrefillBacklog(
@@ -142,30 +143,38 @@
 		events.splice(index === -1 ? events.length : index, 0, event);
 	};
 
-	const counts = {long: 0, short: 0, lateLong: 0, lateShort: 0, readAgain: 0};
+	const counts = {
+		long: 0,
+		short: 0,
+		lateLong: 0,
+		lateShort: 0,
+		prefilledAgain: 0,
+	};
 	const read = (id: string, placement: Placement): number => {
 		const {sharedPart, promptTokens} = placement;
-		const isKept = sharedPart && kept.get(id)!.has(sharedPart.id);
-		const isKeptElsewhere =
-			sharedPart && kept.values().some((parts) => parts.has(sharedPart.id));
-		if (isKeptElsewhere && !isKept) {
-			counts.readAgain += 1;
+		const isCachedHere = sharedPart && cached.get(id)!.has(sharedPart.id);
+		const isCachedElsewhere =
+			sharedPart && cached.values().some((parts) => parts.has(sharedPart.id));
+		if (isCachedElsewhere && !isCachedHere) {
+			counts.prefilledAgain += 1;
 		}
 
-		const tokens = isKept ? promptTokens - sharedPart.tokens : promptTokens;
-		const begun = Math.max(now, freeAt.get(id)!) + tokens / tokensPerMs;
-		freeAt.set(id, begun);
-		return begun;
+		const tokens = isCachedHere
+			? promptTokens - sharedPart.tokens
+			: promptTokens;
+		const startsAt = Math.max(now, freeAt.get(id)!) + tokens / tokensPerMs;
+		freeAt.set(id, startsAt);
+		return startsAt;
 	};
 
 	const begin = (attempt: BackendAttempt, id: string, part?: string) => {
 		attempt.recordFirstEvent(now);
 		if (part !== undefined) {
-			kept.get(id)!.add(part);
+			cached.get(id)!.add(part);
 		}
 
 		plan({
-			at: now + answerMs,
+			at: now + responseMs,
 			run() {
 				attempt.end('answered', now);
 			},
@@ -178,14 +187,14 @@
 		const choice = fleet.choose(placement, now);
 		const id = choice.kind === 'server' ? choice.id : engines[0]!;
 		const attempt = fleet.begin(id, placement, now);
-		const begunAt = read(id, placement);
+		const startsAt = read(id, placement);
 		plan({
-			at: begunAt,
+			at: startsAt,
 			run() {
 				begin(attempt, id, request.part);
 			},
 		});
-		const isLate = begunAt - request.at > placement.targetMs / 4;
+		const isLate = startsAt - request.at > placement.targetMs / 4;
 		if (request.part === undefined) {
 			counts.short += 1;
 			counts.lateShort += isLate ? 1 : 0;
@@ -209,30 +218,34 @@
 	return {
 		lateLong: counts.lateLong / counts.long,
 		lateShort: counts.lateShort / counts.short,
-		readAgain: counts.readAgain,
+		prefilledAgain: counts.prefilledAgain,
 	};
 };
 
-test('few short prompts wait behind long ones where nodes tell each other what engines have still to read', () => {
+test('few short prompts wait behind long ones if nodes share the prefill backlog of engines', () => {
 	for (const seed of [3, 7, 11]) {
-		const untold = play(['told-reading', 'prompt-copies'], seed, manyParts);
-		const told = play([], seed, manyParts);
-		// 0.17 to 0.19 of them untold, 0.01 to 0.04 told.
-		assert.ok(told.lateShort < untold.lateShort / 4);
-		assert.ok(told.lateLong <= untold.lateLong);
+		const isolated = simulate(
+			['told-reading', 'prompt-copies'],
+			seed,
+			manyParts,
+		);
+		const shared = simulate([], seed, manyParts);
+		// Late short prompts: 0.17 to 0.19 without shared backlogs, 0.01 to 0.04 with them.
+		assert.ok(shared.lateShort < isolated.lateShort / 4);
+		assert.ok(shared.lateLong <= isolated.lateLong);
 	}
 });
 
-test('a part that more ask for than one engine can serve comes to be kept by several', () => {
-	const sums = {once: 0, copied: 0, readAgain: 0};
+test('a part that is requested more often than one engine can serve is cached by several engines', () => {
+	const sums = {once: 0, copied: 0, prefilledAgain: 0};
 	for (const seed of [3, 7, 11]) {
-		sums.once += play(['prompt-copies'], seed, hotParts).lateLong;
-		const copied = play([], seed, hotParts);
+		sums.once += simulate(['prompt-copies'], seed, hotParts).lateLong;
+		const copied = simulate([], seed, hotParts);
 		sums.copied += copied.lateLong;
-		sums.readAgain += copied.readAgain;
+		sums.prefilledAgain += copied.prefilledAgain;
 	}
 
-	// 0.22 of them with one keeper as long as it has room, 0.10 with a second one in time.
+	// Late long prompts: 0.22 if only one engine holds the part while it has capacity, 0.10 if a second engine caches it in time.
 	assert.ok(sums.copied < sums.once * 0.75, JSON.stringify(sums));
-	assert.ok(sums.readAgain <= 3 * engines.length);
+	assert.ok(sums.prefilledAgain <= 3 * engines.length);
 });
--- a/tests/backends/smoothed-count.test.ts
+++ b/tests/backends/smoothed-count.test.ts
@@ -5,7 +5,7 @@
 	smoothingMs,
 } from '../../src/backends/index.ts';
 
-test('the mean follows the count within some seconds, and is not moved by one moment', (t: TestContext) => {
+test('the mean follows the count within a few seconds and ignores momentary changes', (t: TestContext) => {
 	const count = createSmoothedCount();
 	count.add(8, 0);
 	t.assert.strictEqual(count.mean(0), 0);
@@ -16,7 +16,7 @@
 	t.assert.ok(count.mean(20 * smoothingMs) < 0.01);
 });
 
-test('a clock that stands still or is asked for the past changes nothing', (t: TestContext) => {
+test('a clock that stands still or goes back does not change the mean', (t: TestContext) => {
 	const count = createSmoothedCount();
 	count.add(4, 1000);
 	const before = count.mean(3000);
@@ -25,7 +25,7 @@
 	t.assert.strictEqual(count.mean(3000), before);
 });
 
-test('others hold as many each as this node, spread over the servers', (t: TestContext) => {
+test('each other node is assumed to have as many requests as this one, spread over the servers', (t: TestContext) => {
 	t.assert.strictEqual(estimatedPeerRequests(2, 65, 16), 8);
 	t.assert.strictEqual(estimatedPeerRequests(2, 1, 16), 0);
 	t.assert.strictEqual(estimatedPeerRequests(2, 3, 0), 4);
--- a/tests/backends/stated-load.test.ts
+++ b/tests/backends/stated-load.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import {parseStatedLoad} from '../../src/backends/index.ts';
 
-test('three counts are read', (t: TestContext) => {
+test('three counts are parsed', (t: TestContext) => {
 	t.assert.deepStrictEqual(parseStatedLoad('12, 3,64').unwrapOr(undefined), {
 		running: 12,
 		waiting: 3,
@@ -23,15 +23,15 @@
 	'0x1,0,3',
 	'many,0,3',
 	'1,99999999999999999999,3',
-	// More run than there are slots.
+	// More requests running than slots.
 	'4,0,3',
 ]) {
-	test(`"${text}" is no load`, (t: TestContext) => {
+	test(`"${text}" is rejected as a load`, (t: TestContext) => {
 		t.assert.ok(parseStatedLoad(text).isErr);
 	});
 }
 
-test('no text ends in anything but counts or an error', (t: TestContext) => {
+test('any text is parsed to counts or rejected with an error', (t: TestContext) => {
 	fc.assert(
 		fc.property(fc.string(), (text) => {
 			const load = parseStatedLoad(text);
--- a/tests/backends/upstream-client.test.ts
+++ b/tests/backends/upstream-client.test.ts
@@ -10,14 +10,14 @@
 } from '../../src/backends/index.ts';
 import {until} from '../until.ts';
 
-type Seen = {
+type CallResult = {
 	readonly head: UpstreamHead | undefined;
 	readonly body: string;
 	readonly end: 'ended' | 'failed';
 	readonly wasSent: boolean;
 };
 
-// A server that answers each request with bytes of the test's choice.
+// Starts a server that answers each request with the bytes that the test provides.
 const startServer = async (
 	context: TestContext,
 	answer: (socket: Socket, count: number) => void,
@@ -59,7 +59,7 @@
 const ask = async (
 	client: ReturnType<typeof createUpstreamClient>,
 	address: string,
-): Promise<Seen> =>
+): Promise<CallResult> =>
 	new Promise((resolve) => {
 		let head: UpstreamHead | undefined;
 		let body = '';
@@ -86,7 +86,7 @@
 	return client;
 };
 
-test('an answer with a length is whole, and its headers are told', async (t: TestContext) => {
+test('a response with a length is received completely, with its headers', async (t: TestContext) => {
 	const client = setUp(t);
 	const address = await startServer(t, (socket) => {
 		socket.write('HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 2\r\n\r\nhi');
@@ -97,7 +97,7 @@
 	t.assert.strictEqual(seen.head?.rawHeaders.includes('X-A'), true);
 });
 
-test('an answer without a length is whole when it ends, and not when it is reset', async (t: TestContext) => {
+test('a response without a length is complete if the connection ends, and fails if it is reset', async (t: TestContext) => {
 	const client = setUp(t);
 	const head = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n';
 	const ended = await startServer(t, (socket) => {
@@ -114,7 +114,7 @@
 	t.assert.strictEqual((await ask(client, reset)).end, 'failed');
 });
 
-test('an answer in chunks that ends without its last one is not whole', async (t: TestContext) => {
+test('a chunked response without its last chunk fails', async (t: TestContext) => {
 	const client = setUp(t);
 	const address = await startServer(t, (socket) => {
 		socket.end(
@@ -124,7 +124,7 @@
 	t.assert.strictEqual((await ask(client, address)).end, 'failed');
 });
 
-test('bytes that are no answer fail the call after it was sent', async (t: TestContext) => {
+test('an invalid response fails the call as sent', async (t: TestContext) => {
 	const client = setUp(t);
 	const address = await startServer(t, (socket) => {
 		socket.end('nonsense\r\n\r\n');
@@ -133,7 +133,7 @@
 	t.assert.deepStrictEqual([seen.end, seen.wasSent], ['failed', true]);
 });
 
-test('a connection that cannot be had proves that nothing was sent', async (t: TestContext) => {
+test('a failed connection proves that nothing was sent', async (t: TestContext) => {
 	const client = setUp(t);
 	const address = await startServer(t, () => undefined);
 	const [host] = address.split(':', 1);
@@ -141,7 +141,7 @@
 	t.assert.deepStrictEqual([seen.end, seen.wasSent], ['failed', false]);
 });
 
-test('a call that is aborted closes its connection and tells nothing more', async (t: TestContext) => {
+test('an aborted call closes its connection and emits no further events', async (t: TestContext) => {
 	const client = setUp(t);
 	const closed = Promise.withResolvers<undefined>();
 	const address = await startServer(t, (socket) => {
@@ -150,7 +150,7 @@
 		});
 		socket.write('HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf');
 	});
-	let told = 0;
+	let eventCount = 0;
 	const call = client.call(callOf(address), {
 		onHead() {
 			setImmediate(() => {
@@ -159,17 +159,17 @@
 		},
 		onData: () => true,
 		onEnd() {
-			told += 1;
+			eventCount += 1;
 		},
 		onFailure() {
-			told += 1;
+			eventCount += 1;
 		},
 	});
 	await closed.promise;
-	t.assert.strictEqual(told, 0);
+	t.assert.strictEqual(eventCount, 0);
 });
 
-test('data waits while the receiver is slow', async (t: TestContext) => {
+test('data is paused while the receiver is slow', async (t: TestContext) => {
 	const client = setUp(t);
 	const address = await startServer(t, (socket) => {
 		socket.write(
@@ -194,7 +194,7 @@
 	t.assert.strictEqual(size, 200_000);
 });
 
-test('a connection rests after an answer, and not before one or while a call is under way', async (t: TestContext) => {
+test('a connection is idle only after a response, not before the first call or during a call', async (t: TestContext) => {
 	const client = setUp(t);
 	const waiting: Socket[] = [];
 	const address = await startServer(t, (socket, count) => {
@@ -205,20 +205,20 @@
 		}
 	});
 	t.assert.strictEqual(client.hasIdleConnection(address), false);
-	const isResting = () => client.hasIdleConnection(address);
+	const isIdle = () => client.hasIdleConnection(address);
 	await ask(client, address);
-	await until(isResting);
-	t.assert.strictEqual(isResting(), true);
+	await until(isIdle);
+	t.assert.strictEqual(isIdle(), true);
 	const second = ask(client, address);
 	t.assert.strictEqual(client.hasIdleConnection(address), false);
 	await until(() => waiting.length === 1, 100);
 	waiting[0]!.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi');
 	await second;
-	await until(isResting);
-	t.assert.strictEqual(isResting(), true);
+	await until(isIdle);
+	t.assert.strictEqual(isIdle(), true);
 });
 
-test('a call that is the last on its connection leaves none that rests', async (t: TestContext) => {
+test('the last call on a connection leaves no idle connection', async (t: TestContext) => {
 	const address = await startServer(t, (socket) => {
 		socket.write('HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok');
 	});
@@ -247,7 +247,7 @@
 	t.assert.strictEqual(client.connectionsOpened(), 2);
 });
 
-test('a call that waits for a connection is withdrawn unsent when it may not begin any more', async (t: TestContext) => {
+test('a call that waits for a connection is withdrawn without being sent if it may no longer begin', async (t: TestContext) => {
 	let received = 0;
 	const address = await startServer(t, (socket, count) => {
 		received = count;
