--- a/src/backend-limits/backend-limits.ts
+++ b/src/backend-limits/backend-limits.ts
@@ -14,41 +14,41 @@
 import {createLimitBroadcast, freshStatementMs} from './limit-broadcast.ts';
 
 /**
-The limits that backend servers name in their answers, each for all nodes together.
+Rate limits that backend servers state in their responses. Each limit applies to all nodes together.
 */
 export type BackendLimits = {
 	/**
-	An answer of a server named its limit, or none.
+	Records the limit that a server stated in a response, or that it stated none.
 
-	@param life Names the life of the server.
+	@param incarnationId Identifies the incarnation of the server.
 	*/
 	recordStatement(
-		life: string,
+		incarnationId: string,
 		statement: LimitStatement,
 		source: Exclude<LimitChange['source'], 'node'>,
 	): void;
 	/**
-	Takes in what another node tells.
+	Processes the limits that another node broadcast.
 	*/
 	receive(message: BackendLimitMessage, now: number): void;
 	/**
-	Whether this node may send one more request to a server now.
+	Whether this node may send another request to a server now.
 	*/
-	canSend(life: string, now: number): boolean;
+	canSend(incarnationId: string, now: number): boolean;
 	/**
-	Requests a second that this node may send to a server; undefined where the server has no limit.
+	Returns the requests per second that this node may send to a server; undefined if the server has no limit.
 	*/
-	rateOf(life: string): number | undefined;
+	rateOf(incarnationId: string): number | undefined;
 	/**
-	Milliseconds between two readings of what an engine keeps; 0 where it has no limit.
+	Returns the minimum interval between two polls of an engine, in milliseconds; 0 if it has no limit.
 	*/
-	enginePollIntervalMs(life: string): number;
+	enginePollIntervalMs(incarnationId: string): number;
 	/**
-	A request is sent to a server, whatever its limit.
+	Records that a request is sent to a server, regardless of its limit.
 	*/
-	recordSend(life: string, now: number): void;
+	recordSend(incarnationId: string, now: number): void;
 	/**
-	Tells other nodes, and forgets limits that have ended; called at each tick.
+	Broadcasts limits to the other nodes and removes expired ones; called at each tick.
 	*/
 	tick(now: number): void;
 	/**
@@ -56,7 +56,7 @@
 	*/
 	hasAny(): boolean;
 	/**
-	For metrics: servers that have a limit, requests that were sent to them, and looks that found no room.
+	For metrics: servers that have a limit, requests sent to them, and the number of times `canSend` returned false.
 	*/
 	limitedServers(): number;
 	sentToLimited(): number;
@@ -64,20 +64,20 @@
 };
 
 /**
-What limits are built from.
+Options of `createBackendLimits`.
 */
 export type BackendLimitsOptions = {
 	readonly self: string;
 	/**
-	The other nodes that send to the same servers and can be heard; replaced when they change.
+	The other reachable nodes that send to the same servers; replaced by another array when they change.
 	*/
 	readonly peers: () => readonly Member[];
 	/**
-	The part of all such nodes that can be heard, this one included, from 0 to 1.
+	Fraction of all such nodes that is reachable, including this one, from 0 to 1.
 	*/
 	readonly reachableFraction: () => number;
 	/**
-	Whether this node may use a limited server: it has had time to hear of the others, and is not leaving.
+	Whether this node may use rate-limited servers: its view of the other nodes has settled, and it is not shutting down.
 	*/
 	readonly canUseLimitedServers: () => boolean;
 	readonly send: (
@@ -89,15 +89,15 @@
 };
 
 /**
-The longest pause between two readings of what a limited engine keeps, in milliseconds.
+Maximum interval between two polls of a rate-limited engine, in milliseconds.
 */
 export const maximumEnginePollIntervalMs = 30_000;
 
-// What a message may have been under way longer than its ages say, in milliseconds.
+// Allowance for the network transit of a message, which the ages in it do not include, in milliseconds.
 const transitMs = 100;
 
 /**
-Builds an empty set of limits.
+Creates an empty set of limits.
 */
 export const createBackendLimits = ({
 	self,
@@ -138,13 +138,13 @@
 					reachableFraction: reachableFraction(),
 				});
 
-	const take = (
+	const applyStatement = (
 		incarnationId: string,
-		given: LimitStatement,
-		how: Pick<LimitChange, 'source' | 'from'>,
+		statement: LimitStatement,
+		origin: Pick<LimitChange, 'source' | 'from'>,
 		now: number,
 	) => {
-		const change = entries.record(incarnationId, given, now);
+		const change = entries.record(incarnationId, statement, now);
 		if (!change) {
 			return;
 		}
@@ -157,8 +157,8 @@
 				incarnationId,
 				before,
 				perSecond,
-				...how,
-				ageMs: now - given.earliest,
+				...origin,
+				ageMs: now - statement.earliest,
 			},
 			{
 				sentBefore: sentSinceChange,
@@ -169,7 +169,7 @@
 			now,
 		);
 		entry.sentSinceChange = 0;
-		entry.hasPendingChange ||= how.source !== 'node';
+		entry.hasPendingChange ||= origin.source !== 'node';
 	};
 
 	const fill = (incarnationId: string, entry: LimitEntry, now: number) => {
@@ -181,7 +181,7 @@
 
 	return {
 		recordStatement(incarnationId, statement, source) {
-			take(incarnationId, statement, {source}, statement.latest);
+			applyStatement(incarnationId, statement, {source}, statement.latest);
 		},
 		receive({from, limits}, now) {
 			for (const {
@@ -190,15 +190,20 @@
 				earliestAgoMs,
 				latestAgoMs,
 			} of limits) {
-				// What was delayed on its way, or was read late, may be long over.
+				// A message that was delayed or processed late may be outdated.
 				if (latestAgoMs > freshStatementMs) {
 					continue;
 				}
 
 				const earliest = now - earliestAgoMs - transitMs;
 				const latest = now - latestAgoMs;
-				const how = {source: 'node', from} as const;
-				take(incarnationId, {perSecond, earliest, latest}, how, now);
+				const origin = {source: 'node', from} as const;
+				applyStatement(
+					incarnationId,
+					{perSecond, earliest, latest},
+					origin,
+					now,
+				);
 				entries.recordPeerBroadcast(incarnationId, perSecond, now);
 			}
 		},
@@ -209,9 +214,9 @@
 			}
 
 			fill(incarnationId, entry, now);
-			const isThere = entry.bucket.canTake();
-			heldBack += isThere ? 0 : 1;
-			return isThere;
+			const isAllowed = entry.bucket.canTake();
+			heldBack += isAllowed ? 0 : 1;
+			return isAllowed;
 		},
 		rateOf(incarnationId) {
 			const entry = entries.get(incarnationId);
@@ -241,7 +246,7 @@
 		},
 		tick(now) {
 			entries.removeExpired(now);
-			// A node that comes to send to a server has not rested before.
+			// Buckets are refilled at each tick, so that a node that becomes a sender gains no tokens for the time before.
 			for (const incarnationId of entries.incarnationIds()) {
 				fill(incarnationId, entries.get(incarnationId)!, now);
 			}
--- a/src/backend-limits/limit-broadcast.ts
+++ b/src/backend-limits/limit-broadcast.ts
@@ -7,8 +7,8 @@
 import {lowestStatement} from './limit-statement.ts';
 
 /**
-Broadcasts limits to the other nodes: at once when this node hears of a change from the server itself, and repeatedly while the
-statement is fresh, for nodes that missed it or have started since.
+Broadcasts limits to the other nodes: promptly when a server states a changed limit to this node, and repeatedly while the
+statement is fresh, for nodes that missed a message or started later.
 */
 export type LimitBroadcast = {
 	/**
@@ -18,43 +18,43 @@
 };
 
 /**
-What a broadcast is built from.
+Options of `createLimitBroadcast`.
 */
 export type LimitBroadcastOptions = {
 	readonly self: string;
 	readonly entries: LimitEntries;
 	readonly order: NodeOrder;
 	/**
-	Tells all other nodes that send to the same servers.
+	Sends a message to all other nodes that send to the same servers.
 	*/
 	readonly sendToPeers: (message: BackendLimitMessage) => void;
 };
 
 /**
-Interval at which a limit is broadcast by any node, in milliseconds.
+Interval at which the nodes together broadcast a limit, in milliseconds.
 */
 export const broadcastIntervalMs = 1000;
 
 /**
-Delay after which the next node in rendezvous order broadcasts instead, in milliseconds.
+Additional delay of each further node in rendezvous order before it broadcasts instead, in milliseconds.
 */
 export const broadcastFailoverMs = 200;
 
-// Nodes that come later in the order wait as long as this one.
-const lastFailover = 10;
+// Rank from which the delay does not increase any further.
+const maximumFailoverRank = 10;
 
 /**
-Age beyond which a statement is not passed on, in milliseconds: the server may have changed its limit since.
+Age above which a statement is not forwarded, in milliseconds: the server may have changed its limit in the meantime.
 */
 export const freshStatementMs = 10_000;
 
 /**
-Shortest time between two broadcasts of a limit that keeps changing, in milliseconds.
+Minimum interval between two broadcasts of a limit that keeps changing, in milliseconds.
 */
 export const minimumBroadcastGapMs = 500;
 
 /**
-Builds a broadcast that has told nothing.
+Creates a broadcast in which no limit has been sent.
 */
 export const createLimitBroadcast = ({
 	self,
@@ -67,12 +67,15 @@
 		{lastBroadcastAt, hasPendingChange}: LimitEntry,
 		now: number,
 	): boolean => {
-		const silentMs = now - lastBroadcastAt;
-		const stepsMs =
-			Math.min(lastFailover, order.rank(incarnationId)) * broadcastFailoverMs;
+		const elapsedMs = now - lastBroadcastAt;
+		const failoverMs =
+			Math.min(maximumFailoverRank, order.rank(incarnationId)) *
+			broadcastFailoverMs;
 		return (
-			silentMs >=
-			(hasPendingChange ? minimumBroadcastGapMs : broadcastIntervalMs + stepsMs)
+			elapsedMs >=
+			(hasPendingChange
+				? minimumBroadcastGapMs
+				: broadcastIntervalMs + failoverMs)
 		);
 	};
 
@@ -81,16 +84,16 @@
 			const limits: LimitUpdate[] = [];
 			for (const incarnationId of entries.incarnationIds()) {
 				const entry = entries.get(incarnationId)!;
-				const told = isDue(incarnationId, entry, now)
-					? toldLimit(incarnationId, entry, now)
+				const update = isDue(incarnationId, entry, now)
+					? limitUpdateOf(incarnationId, entry, now)
 					: undefined;
-				if (!told) {
+				if (!update) {
 					continue;
 				}
 
 				entry.hasPendingChange = false;
 				entry.lastBroadcastAt = now;
-				limits.push(told);
+				limits.push(update);
 			}
 
 			if (limits.length > 0) {
@@ -100,7 +103,7 @@
 	};
 };
 
-const toldLimit = (
+const limitUpdateOf = (
 	incarnationId: string,
 	{statements}: LimitEntry,
 	now: number,
--- a/src/backend-limits/limit-entries.ts
+++ b/src/backend-limits/limit-entries.ts
@@ -7,90 +7,90 @@
 import {createTokenBucket, type TokenBucket} from './token-bucket.ts';
 
 /**
-What is known of the limit of one server.
+State of the limit of one server.
 */
 export type LimitEntry = {
 	statements: LimitStatements;
 	/**
-	The limit that holds; undefined where it has ended.
+	Limit in effect; undefined after it has ended.
 	*/
 	perSecond: number | undefined;
 	readonly bucket: TokenBucket;
 	/**
-	Requests of this node since the limit changed last.
+	Requests of this node since the last change of the limit.
 	*/
 	sentSinceChange: number;
 	/**
-	When this node or another one told the others last.
+	Time at which this or another node last broadcast the limit.
 	*/
 	lastBroadcastAt: number;
 	/**
-	Whether the server has told this node of a change that the others may not know.
+	Whether the server stated a change to this node that has not been broadcast yet.
 	*/
 	hasPendingChange: boolean;
 	endedAt: number | undefined;
 };
 
 /**
-What is known of the limits of servers, by the names of their lives.
+Limits of servers, by incarnation id.
 */
 export type LimitEntries = {
-	get(life: string): LimitEntry | undefined;
+	get(incarnationId: string): LimitEntry | undefined;
 	/**
-	Takes a statement in; undefined where the limit is the same as before.
+	Records a statement; returns undefined if it does not change the limit.
 	*/
 	record(
-		life: string,
-		given: LimitStatement,
+		incarnationId: string,
+		statement: LimitStatement,
 		now: number,
 	):
 		| {readonly entry: LimitEntry; readonly before: number | undefined}
 		| undefined;
 	/**
-	Another node has told the others of a limit. Where this one knows better the others are still to be told.
+	Records that another node broadcast a limit. If it differs from the limit known here, this node still broadcasts its own.
 	*/
 	recordPeerBroadcast(
-		life: string,
+		incarnationId: string,
 		perSecond: number | undefined,
 		now: number,
 	): void;
 	incarnationIds(): readonly string[];
 	/**
-	Servers that have a limit now.
+	Number of servers that have a limit.
 	*/
 	limitedCount(): number;
 	removeExpired(now: number): void;
 };
 
 /**
-A limit that has ended is remembered for so long, in milliseconds, so that nodes that missed its end are told.
+Retention of a limit that has ended, in milliseconds. During this time, its end is broadcast to nodes that missed it.
 */
 export const endedLimitRetentionMs = 20_000;
 
 /**
-Retention of a limit without updates, in milliseconds. Longer than a live server needs to state it again.
+Retention of a limit without updates, in milliseconds. It is longer than a live server takes to state its limit again.
 */
 export const silentLimitRetentionMs = 600_000;
 
 /**
-Servers that are remembered at the most; the one that was heard of first gives way.
+Maximum number of servers; the oldest entry is evicted first.
 */
 export const maximumLimitedServers = 2000;
 
 /**
-Builds entries of no server.
+Creates an empty set of entries.
 */
 export const createLimitEntries = (): LimitEntries => {
 	const entries = new Map<string, LimitEntry>();
-	let limited = 0;
+	let count = 0;
 
-	const remove = (life: string) => {
-		limited -= entries.get(life)?.perSecond === undefined ? 0 : 1;
-		entries.delete(life);
+	const remove = (incarnationId: string) => {
+		count -= entries.get(incarnationId)?.perSecond === undefined ? 0 : 1;
+		entries.delete(incarnationId);
 	};
 
-	const open = (life: string, now: number): LimitEntry => {
-		const known = entries.get(life);
+	const getOrCreate = (incarnationId: string, now: number): LimitEntry => {
+		const known = entries.get(incarnationId);
 		if (known) {
 			return known;
 		}
@@ -108,26 +108,29 @@
 			hasPendingChange: false,
 			endedAt: undefined,
 		};
-		entries.set(life, entry);
+		entries.set(incarnationId, entry);
 		return entry;
 	};
 
-	const isOld = ({endedAt, statements}: LimitEntry, now: number): boolean =>
+	const isExpired = (
+		{endedAt, statements}: LimitEntry,
+		now: number,
+	): boolean =>
 		endedAt === undefined
 			? now - (lowestStatement(statements)?.latest ?? now) >
 				silentLimitRetentionMs
 			: now - endedAt > endedLimitRetentionMs;
 
 	return {
-		get: (life) => entries.get(life),
-		record(life, given, now) {
-			// Most servers never name a limit, and nothing is kept of them.
-			if (given.perSecond === undefined && !entries.has(life)) {
+		get: (incarnationId) => entries.get(incarnationId),
+		record(incarnationId, statement, now) {
+			// Most servers never state a limit, so no entry is created for them.
+			if (statement.perSecond === undefined && !entries.has(incarnationId)) {
 				return undefined;
 			}
 
-			const entry = open(life, now);
-			entry.statements = addStatement(entry.statements, given);
+			const entry = getOrCreate(incarnationId, now);
+			entry.statements = addStatement(entry.statements, statement);
 			const before = entry.perSecond;
 			const perSecond = lowestStatement(entry.statements)?.perSecond;
 			if (perSecond === before) {
@@ -136,12 +139,12 @@
 
 			entry.perSecond = perSecond;
 			entry.endedAt = perSecond === undefined ? now : undefined;
-			limited +=
+			count +=
 				(before === undefined ? 1 : 0) - (perSecond === undefined ? 1 : 0);
 			return {entry, before};
 		},
-		recordPeerBroadcast(life, perSecond, now) {
-			const entry = entries.get(life);
+		recordPeerBroadcast(incarnationId, perSecond, now) {
+			const entry = entries.get(incarnationId);
 			if (!entry || entry.perSecond !== perSecond) {
 				return;
 			}
@@ -150,11 +153,11 @@
 			entry.hasPendingChange = false;
 		},
 		incarnationIds: () => entries.keys().toArray(),
-		limitedCount: () => limited,
+		limitedCount: () => count,
 		removeExpired(now) {
-			for (const [life, entry] of entries) {
-				if (isOld(entry, now)) {
-					remove(life);
+			for (const [incarnationId, entry] of entries) {
+				if (isExpired(entry, now)) {
+					remove(incarnationId);
 				}
 			}
 		},
--- a/src/backend-limits/limit-log.ts
+++ b/src/backend-limits/limit-log.ts
@@ -2,34 +2,34 @@
 import type {Logger} from '../logging/index.ts';
 
 /**
-A change of what a node believes of a server's limit.
+Change of a server's limit as known to this node.
 */
 export type LimitChange = {
 	/**
-	Names the life of the server.
+	Identifies the incarnation of the server.
 	*/
 	readonly incarnationId: string;
 	/**
-	Requests a second over all nodes; undefined for no limit.
+	Requests per second of all nodes; undefined for no limit.
 	*/
 	readonly before: number | undefined;
 	readonly perSecond: number | undefined;
 	/**
-	The kind of answer that stated it, or another node.
+	Kind of response that stated the limit, or `node` if another node reported it.
 	*/
 	readonly source: AnswerSource | 'node';
 	/**
-	The other node.
+	Id of the other node.
 	*/
 	readonly from?: string;
 	/**
-	Milliseconds since the server may have said so at the earliest.
+	Milliseconds since the earliest time at which the server may have made the statement.
 	*/
 	readonly ageMs: number;
 };
 
 /**
-Writes down when servers name limits.
+Logs changes of limits.
 */
 export type LimitLog = {
 	changed(
@@ -40,35 +40,35 @@
 };
 
 /**
-Lines about one server are written so far apart at the least, in milliseconds: a server may name another limit in each
-answer.
+Minimum interval between two log lines about one server, in milliseconds: a server may state a different limit in each
+response.
 */
 export const limitLogIntervalMs = 1000;
 
-// Servers that are remembered for that; the oldest gives way.
+// Maximum number of servers whose last log time is retained; the oldest is evicted first.
 const maximumServers = 500;
 
 /**
-Builds a log that has written nothing.
+Creates a log without lines.
 */
 export const createLimitLog = (logger: Logger): LimitLog => {
-	const writtenAt = new Map<string, number>();
+	const loggedAt = new Map<string, number>();
 
 	return {
 		changed({incarnationId, ageMs, ...change}, inputs, now) {
-			const isNews =
+			const isStartOrEnd =
 				change.before === undefined || change.perSecond === undefined;
 			if (
-				!isNews &&
-				now - (writtenAt.get(incarnationId) ?? -Infinity) < limitLogIntervalMs
+				!isStartOrEnd &&
+				now - (loggedAt.get(incarnationId) ?? -Infinity) < limitLogIntervalMs
 			) {
 				return;
 			}
 
-			writtenAt.delete(incarnationId);
-			writtenAt.set(incarnationId, now);
-			if (writtenAt.size > maximumServers) {
-				writtenAt.delete(writtenAt.keys().next().value!);
+			loggedAt.delete(incarnationId);
+			loggedAt.set(incarnationId, now);
+			if (loggedAt.size > maximumServers) {
+				loggedAt.delete(loggedAt.keys().next().value!);
 			}
 
 			logger.info(
--- a/src/backend-limits/limit-share.ts
+++ b/src/backend-limits/limit-share.ts
@@ -1,5 +1,5 @@
 /**
-What one node may send to a limited server.
+Share of one node in the limit of a server.
 */
 export type LimitShare = {
 	readonly perSecond: number;
@@ -10,15 +10,15 @@
 };
 
 /**
-What a share is calculated from.
+Inputs of `limitShare`.
 */
 export type ShareInputs = {
 	/**
-	Place of this node in rendezvous order for the server, from 0.
+	Rank of this node in rendezvous order for the server, starting at 0.
 	*/
 	readonly rank: number;
 	/**
-	Reachable nodes that send to the server, this one included.
+	Number of reachable nodes that send to the server, including this one.
 	*/
 	readonly nodes: number;
 	/**
@@ -28,17 +28,17 @@
 };
 
 /**
-Fraction of a limit for requests. The rest is left for health checks and for reading what engines keep.
+Fraction of a limit for requests. The remainder is reserved for health checks and for polls of engine caches.
 */
 export const requestFraction = 0.9;
 
 /**
-Fraction of a limit for reading what an engine keeps.
+Fraction of a limit for polls of an engine's cache.
 */
 export const enginePollFraction = 0.1;
 
 /**
-Factor by which a node exceeds its share while some members are unreachable. Two sides of a partition together stay below 1.25
+Factor by which a node exceeds its share while some nodes are unreachable. The two sides of a partition together stay below 1.25
 times the limit.
 */
 export const partitionOvercommit = 1.25;
@@ -51,25 +51,28 @@
 const noShare: LimitShare = {perSecond: 0, burst: 0};
 
 /**
-The share of a node.
+Returns the share of a node.
 
-Only as many nodes send to a limited server as it takes requests in a second, the first in an order that all derive from
-its name. An equal share of each node would let each of them send one request at the same moment, which is many times
-the limit where nodes are many, and what nodes without callers have would be left unused.
+The number of nodes that send to a limited server is at most the number of requests that it accepts per second; the first nodes in
+rendezvous order for the server are selected. With an equal share for each of many nodes, all nodes could send one request at the
+same time, which exceeds the limit many times over, and the shares of nodes without callers would be unused.
 */
 export const limitShare = (
 	perSecond: number,
 	{rank, nodes, reachableFraction}: ShareInputs,
 ): LimitShare => {
-	const whole =
+	const total =
 		perSecond *
 		requestFraction *
 		Math.min(1, reachableFraction * partitionOvercommit);
-	const senders = Math.min(nodes, Math.max(1, Math.floor(whole)));
+	const senders = Math.min(nodes, Math.max(1, Math.floor(total)));
 	if (rank >= senders) {
 		return noShare;
 	}
 
-	const own = whole / senders;
-	return {perSecond: own, burst: Math.max(1, (own * burstWindowMs) / 1000)};
+	const perSender = total / senders;
+	return {
+		perSecond: perSender,
+		burst: Math.max(1, (perSender * burstWindowMs) / 1000),
+	};
 };
--- a/src/backend-limits/limit-statement.ts
+++ b/src/backend-limits/limit-statement.ts
@@ -1,47 +1,47 @@
 /**
-What one answer of a backend server says of its limit.
+Limit that a backend server stated in one response.
 */
 export type LimitStatement = {
 	/**
-	Requests a second that it takes from all nodes together; undefined where it has no limit.
+	Requests per second that the server accepts from all nodes together; undefined if it has no limit.
 	*/
 	readonly perSecond: number | undefined;
 	/**
-	The server made the answer between these moments: when the request was sent, and when its answer came. By this
-	node's clock, in milliseconds.
+	The server created the response between these times: when the request was sent, and when its response arrived. By this node's
+	clock, in milliseconds.
 	*/
 	readonly earliest: number;
 	readonly latest: number;
 };
 
 /**
-The statements of a server of which none is known to be older than another.
+Statements of a server, none of which is known to be older than another.
 */
 export type LimitStatements = readonly LimitStatement[];
 
-// More of them differ only where a server names another limit in each answer; the lowest ones count.
+// More statements accumulate only if a server states a different limit in each response; the lowest limits are retained.
 const maximumStatements = 8;
 
 /**
-What holds after one more answer. Answers on different connections overtake each other, so a later one may be older: an
-answer replaces those that had come before its request was sent, and no others.
+Adds a statement. Responses on different connections may arrive out of order, so a statement replaces only those that arrived
+before its own request was sent.
 */
 export const addStatement = (
 	known: LimitStatements,
-	given: LimitStatement,
+	added: LimitStatement,
 ): LimitStatements => {
-	if (known.some(({earliest}) => earliest >= given.latest)) {
+	if (known.some(({earliest}) => earliest >= added.latest)) {
 		return known;
 	}
 
-	const same = known.find(({perSecond}) => perSecond === given.perSecond);
+	const same = known.find(({perSecond}) => perSecond === added.perSecond);
 	const latest: LimitStatement = {
-		perSecond: given.perSecond,
-		earliest: Math.max(given.earliest, same?.earliest ?? -Infinity),
-		latest: Math.max(given.latest, same?.latest ?? -Infinity),
+		perSecond: added.perSecond,
+		earliest: Math.max(added.earliest, same?.earliest ?? -Infinity),
+		latest: Math.max(added.latest, same?.latest ?? -Infinity),
 	};
 	const others = known.filter(
-		(each) => each !== same && each.latest > given.earliest,
+		(each) => each !== same && each.latest > added.earliest,
 	);
 	return [...others, latest]
 		.toSorted((left, right) => rateOf(left) - rateOf(right))
@@ -49,8 +49,8 @@
 };
 
 /**
-The statement that holds: the lowest of those that may be the newest. The server's next answers correct it, and until
-then the server gets too little rather than too much.
+Returns the statement in effect: the lowest limit of those that may be the newest. Until the next responses resolve the order, the
+server receives too few requests rather than too many.
 */
 export const lowestStatement = (
 	statements: LimitStatements,
--- a/src/backend-limits/sender-nodes.ts
+++ b/src/backend-limits/sender-nodes.ts
@@ -6,49 +6,49 @@
 */
 export type SenderNodes = {
 	/**
-	Those that may be sending now, but this node; replaced when they change.
+	The other nodes that may currently be sending; replaced by another array when they change.
 	*/
 	peers(): readonly Member[];
 	/**
-	Fraction of all of them that is reachable, this node included, from 0 to 1.
+	Fraction of all such nodes that is reachable, including this one, from 0 to 1.
 	*/
 	reachableFraction(): number;
 };
 
 /**
-What they are found from.
+Options of `createSenderNodes`.
 */
 export type SenderNodesOptions = {
 	/**
-	All other nodes ever heard of; replaced when they change.
+	All other nodes ever known; replaced by another array when they change.
 	*/
 	readonly others: () => readonly Member[];
 	/**
-	Whether a node can send to the servers that this one sends to.
+	Whether a node can send to the same servers as this one.
 	*/
 	readonly sharesServers: (member: Member) => boolean;
 	/**
-	When anything was last heard from any node.
+	Time at which a message from any other node was last received.
 	*/
 	readonly lastReceivedAt: () => number | undefined;
 	readonly clock: () => number;
 };
 
 /**
-How long the share of a dead node stays reserved, in milliseconds: it may be partitioned and still sending.
+Time for which the share of a dead node stays reserved, in milliseconds: the node may be partitioned and still sending.
 */
 export const deadNodeReservationMs = 30_000;
 
 /**
-Fraction assumed by a node that has never heard another one: several may have started behind the same partition.
+Fraction assumed by a node that has never received a message: several nodes may have started in the same partition.
 */
 export const isolatedFraction = 0.25;
 
-// Interval at which dead nodes are counted, in milliseconds: a count at each request would grow with the nodes.
-const countEveryMs = 200;
+// Interval at which dead nodes are counted, in milliseconds. A count for each request would cost time in proportion to the nodes.
+const countIntervalMs = 200;
 
 /**
-Builds the view of one node.
+Creates the view of one node.
 */
 export const createSenderNodes = ({
 	others,
@@ -56,14 +56,14 @@
 	lastReceivedAt,
 	clock,
 }: SenderNodesOptions): SenderNodes => {
-	const near = createDerived(others, (members) =>
+	const sharing = createDerived(others, (members) =>
 		members.filter((member) => sharesServers(member)),
 	);
-	const peers = createDerived(near, (members) =>
+	const peers = createDerived(sharing, (members) =>
 		members.filter(({status}) => status === 'alive' || status === 'suspect'),
 	);
 	let diedAt: ReadonlyMap<string, number> = new Map();
-	const deaths = createDerived(near, (members) => {
+	const deathTimes = createDerived(sharing, (members) => {
 		const now = clock();
 		diedAt = new Map(
 			members
@@ -74,10 +74,10 @@
 	});
 	let counted = {at: -Infinity, dead: 0};
 
-	const deadLately = (): number => {
+	const recentlyDead = (): number => {
 		const now = clock();
-		const times = deaths();
-		if (now - counted.at >= countEveryMs) {
+		const times = deathTimes();
+		if (now - counted.at >= countIntervalMs) {
 			const dead = times
 				.values()
 				.filter((at) => now - at < deadNodeReservationMs)
@@ -95,8 +95,8 @@
 				return isolatedFraction;
 			}
 
-			const heard = 1 + peers().length;
-			return heard / (heard + deadLately());
+			const reachable = 1 + peers().length;
+			return reachable / (reachable + recentlyDead());
 		},
 	};
 };
--- a/src/backend-limits/stated-limit.ts
+++ b/src/backend-limits/stated-limit.ts
@@ -2,30 +2,30 @@
 import {parseDecimal} from '../shared/index.ts';
 import type {LimitStatement} from './limit-statement.ts';
 
-// No server takes as many requests a second as this; a greater number is a fault of its own.
-const largestPerSecond = 1_000_000;
+// A larger number is rejected as invalid, because no server accepts that many requests per second.
+const maximumPerSecond = 1_000_000;
 
 /**
-Reads the requests a second that a server takes from all nodes together, a decimal number; the error says what is wrong
-with it.
+Parses the requests per second that a server accepts from all nodes together, a decimal number; the error describes what is
+invalid.
 */
 export const parseStatedLimit = (text: string): Result<number, string> => {
 	const perSecond = parseDecimal(text);
 	if (perSecond === undefined) {
-		return Result.err('it is no decimal number');
+		return Result.err('expected a decimal number');
 	}
 
-	return perSecond > largestPerSecond
-		? Result.err('no server takes as many requests a second')
+	return perSecond > maximumPerSecond
+		? Result.err('expected at most 1000000 requests per second')
 		: Result.ok(perSecond);
 };
 
 /**
-Reads what an answer names as the limit of its server; the error says what is wrong with it.
+Reads the limit that a server stated in a response; the error describes what is invalid.
 
-@param text The limit; undefined where the answer names none.
-@param sentAt When the request was sent.
-@param now When its answer came.
+@param text The limit; undefined if the response states none.
+@param sentAt Time at which the request was sent.
+@param now Time at which the response arrived.
 */
 export const readLimitStatement = (
 	text: string | undefined,
--- a/src/backend-limits/token-bucket.ts
+++ b/src/backend-limits/token-bucket.ts
@@ -1,35 +1,35 @@
 import type {LimitShare} from './limit-share.ts';
 
 /**
-A token bucket whose rate and burst capacity may change.
+A token bucket with variable rate and burst capacity.
 */
 export type TokenBucket = {
 	/**
-	Adds the tokens of the time since the last fill.
+	Adds the tokens for the time since the last refill.
 	*/
 	fill(share: LimitShare, now: number): void;
 	canTake(): boolean;
 	/**
-	Removes a token, also where there is none: the next requests wait for it.
+	Removes a token, even from an empty bucket; subsequent requests wait until the deficit is refilled.
 	*/
 	take(): void;
 };
 
-// Tokens that the bucket may go below zero.
+// Maximum number of tokens below zero.
 const maximumDebt = 5;
 
 /**
-Builds an empty bucket: a node that learns of a limit has just sent a request.
+Creates an empty bucket, because a node that receives a limit has just sent a request.
 */
 export const createTokenBucket = (createdAt: number): TokenBucket => {
 	let tokens = 0;
-	let filledAt = createdAt;
+	let refilledAt = createdAt;
 
 	return {
 		fill({perSecond, burst}, now) {
-			const passedMs = Math.max(0, now - filledAt);
-			filledAt = Math.max(filledAt, now);
-			tokens = Math.min(burst, tokens + (perSecond * passedMs) / 1000);
+			const elapsedMs = Math.max(0, now - refilledAt);
+			refilledAt = Math.max(refilledAt, now);
+			tokens = Math.min(burst, tokens + (perSecond * elapsedMs) / 1000);
 		},
 		canTake: () => tokens >= 1,
 		take() {
--- a/tests/backend-limits/fixtures.ts
+++ b/tests/backend-limits/fixtures.ts
@@ -6,7 +6,7 @@
 import {silentLogger} from '../../src/logging/index.ts';
 
 /**
-The limits of the only node of a region.
+Creates the limits of the only node in a region.
 */
 export const limitsOf = (
 	change: Partial<BackendLimitsOptions> = {},
--- a/tests/backend-limits/limit-log.test.ts
+++ b/tests/backend-limits/limit-log.test.ts
@@ -4,7 +4,7 @@
 	limitLogIntervalMs,
 } from '../../src/backend-limits/index.ts';
 
-test('a limit that changes with each answer is written now and then, its beginning and end always', (t: TestContext) => {
+test('changes of a limit are logged at intervals, and its start and end always', (t: TestContext) => {
 	const lines: unknown[] = [];
 	const write = (facts: unknown) => {
 		lines.push(facts);
--- a/tests/backend-limits/limit-model.ts
+++ b/tests/backend-limits/limit-model.ts
@@ -10,7 +10,7 @@
 import {mostInSpan} from '../most-in-span.ts';
 
 /**
-What a node keeps a limit by.
+Implementation by which a simulated node obeys a limit.
 */
 export type LimitRule = Pick<
 	BackendLimits,
@@ -18,12 +18,12 @@
 >;
 
 /**
-What a rule knows of the nodes.
+View of the nodes that a rule has.
 */
 export type LimitNode = {
 	readonly self: string;
 	/**
-	The other nodes as this one sees them; replaced when they change.
+	The other nodes as known to this one; replaced by another array when they change.
 	*/
 	readonly others: () => readonly Member[];
 	readonly lastHeard: () => number | undefined;
@@ -36,11 +36,11 @@
 };
 
 /**
-What happens to some nodes, in milliseconds from the start.
+A fault or change that affects some nodes, with times in milliseconds from the start.
 */
 export type LimitEvent =
 	/**
-	They and the others hear nothing of each other; all reach the server.
+	A network partition between these nodes and the others; all nodes reach the server.
 	*/
 	| {
 			readonly kind: 'cut';
@@ -49,7 +49,7 @@
 			readonly nodes: ReadonlySet<number>;
 	  }
 	/**
-	They stand still, and find what came meanwhile when they go on.
+	The nodes are suspended, and process the messages that arrived in the meantime when they resume.
 	*/
 	| {
 			readonly kind: 'freeze';
@@ -58,7 +58,7 @@
 			readonly nodes: ReadonlySet<number>;
 	  }
 	/**
-	They start again and know nothing.
+	The nodes restart without state.
 	*/
 	| {
 			readonly kind: 'restart';
@@ -66,7 +66,7 @@
 			readonly nodes: ReadonlySet<number>;
 	  }
 	/**
-	They get no callers from then on.
+	The nodes receive no requests from then on.
 	*/
 	| {
 			readonly kind: 'deserted';
@@ -75,18 +75,18 @@
 	  };
 
 /**
-What is played.
+Parameters of a simulation.
 */
 export type LimitPlan = {
 	readonly seed: number;
 	readonly createRule: (node: LimitNode) => LimitRule;
 	readonly nodes: number;
 	/**
-	Requests a second that each node would like to send to the server.
+	Requests per second that callers send to each node.
 	*/
 	readonly wantedPerSecond: number;
 	/**
-	The limit from each moment on; undefined for none.
+	Limits and the times from which they apply; undefined for no limit.
 	*/
 	readonly limits: ReadonlyArray<{
 		readonly from: number;
@@ -110,27 +110,26 @@
 	others: readonly Member[];
 	frozenUntil: number;
 	/**
-	What came while it stood still.
+	Events that arrived while the node was suspended.
 	*/
 	backlog: Array<() => void>;
 };
 
 const tickMs = 150;
-// As long as nodes take to hear of the others after their start.
+// Time that nodes need to learn about the others after their start.
 const settlingMs = 2500;
-// A node that says nothing is taken for dead after some two seconds, by each other node in its own time.
-const shortestDetectionMs = 1500;
+// A silent node is considered dead after about two seconds; the time differs between the other nodes.
+const minimumDetectionMs = 1500;
 const detectionSpreadMs = 1000;
 const returnSpreadMs = 800;
-const longestTellingMs = 80;
-const lostPart = 0.02;
-const nearDelayMs = 4;
-const shortestAnswerMs = 20;
-const longestAnswerMs = 900;
+const maximumMessageDelayMs = 80;
+const lossRate = 0.02;
+const regionalDelayMs = 4;
+const minimumResponseMs = 20;
+const maximumResponseMs = 900;
 
 /**
-Plays nodes that share one server, without a network: what they tell each other takes up to 80 ms, and one message in fifty
-is lost.
+Simulates nodes that share one server, without a network. Messages between nodes take up to 80 ms, and one in fifty is lost.
 */
 export const simulateLimit = (plan: LimitPlan): readonly LimitArrival[] => {
 	const random = createRandom(plan.seed);
@@ -151,14 +150,14 @@
 				now < event.until &&
 				event.nodes.has(left) !== event.nodes.has(right),
 		);
-	const isDeserted = (node: number): boolean =>
+	const hasNoCallers = (node: number): boolean =>
 		events.some(
 			(event) =>
 				event.kind === 'deserted' && now >= event.from && event.nodes.has(node),
 		);
 
-	// What a node does, or does later if it stands still.
-	const act = (node: number, run: () => void) => {
+	// Runs an action of a node, or defers it while the node is suspended.
+	const runAction = (node: number, run: () => void) => {
 		const state = states[node]!;
 		if (now < state.frozenUntil) {
 			state.backlog.push(run);
@@ -169,13 +168,13 @@
 
 	const nodeOf = (id: string): number => Number(id.slice('node-'.length));
 
-	const pass = (from: number, to: number, message: BackendLimitMessage) => {
-		if (isCut(from, to) || random.fraction() < lostPart) {
+	const deliver = (from: number, to: number, message: BackendLimitMessage) => {
+		if (isCut(from, to) || random.fraction() < lossRate) {
 			return;
 		}
 
-		after(random.below(longestTellingMs), () => {
-			act(to, () => {
+		after(random.below(maximumMessageDelayMs), () => {
+			runAction(to, () => {
 				states[to]!.rule.receive(message, now);
 			});
 		});
@@ -200,7 +199,7 @@
 			canUseLimitedServers: () => now - state.startedAt > settlingMs,
 			send(members, message) {
 				for (const {id} of members) {
-					pass(node, nodeOf(id), message);
+					deliver(node, nodeOf(id), message);
 				}
 			},
 			clock,
@@ -224,14 +223,14 @@
 
 	const arrive = (node: number, sentAt: number) => {
 		arrivals.push({at: now, node});
-		const answerMs =
-			shortestAnswerMs + random.below(longestAnswerMs - shortestAnswerMs);
-		after(answerMs, () => {
+		const responseMs =
+			minimumResponseMs + random.below(maximumResponseMs - minimumResponseMs);
+		after(responseMs, () => {
 			const perSecond = limitNow();
 			const {rule} = states[node]!;
-			after(nearDelayMs, () => {
-				act(node, () => {
-					// The answer of a request of an earlier life is lost.
+			after(regionalDelayMs, () => {
+				runAction(node, () => {
+					// Responses to requests of a previous incarnation are lost.
 					if (states[node]!.rule !== rule) {
 						return;
 					}
@@ -247,36 +246,36 @@
 		});
 	};
 
-	const want = (node: number) => {
-		const pause = -Math.log(1 - random.fraction()) * 1000;
-		after(pause / plan.wantedPerSecond, () => {
-			act(node, () => {
+	const startCaller = (node: number) => {
+		const gapMs = -Math.log(1 - random.fraction()) * 1000;
+		after(gapMs / plan.wantedPerSecond, () => {
+			runAction(node, () => {
 				const {rule} = states[node]!;
-				if (isDeserted(node) || !rule.canSend('server', now)) {
+				if (hasNoCallers(node) || !rule.canSend('server', now)) {
 					return;
 				}
 
 				rule.recordSend('server', now);
 				const sentAt = now;
-				after(random.below(nearDelayMs) + 1, () => {
+				after(random.below(regionalDelayMs) + 1, () => {
 					arrive(node, sentAt);
 				});
 			});
-			want(node);
+			startCaller(node);
 		});
 	};
 
 	const tick = (node: number) => {
 		after(tickMs, () => {
-			act(node, () => {
+			runAction(node, () => {
 				states[node]!.rule.tick(now);
 			});
 			tick(node);
 		});
 	};
 
-	// Each side takes the other for dead, in its own time.
-	const separate = (
+	// Each node changes the status of the nodes on the other side after its own delay.
+	const setStatusAcross = (
 		nodes: ReadonlySet<number>,
 		status: Member['status'],
 		spreadMs: number,
@@ -293,12 +292,12 @@
 	};
 
 	const rejoin = (nodes: ReadonlySet<number>) => {
-		separate(nodes, 'alive', returnSpreadMs);
+		setStatusAcross(nodes, 'alive', returnSpreadMs);
 		for (const node of nodes) {
 			const state = states[node]!;
 			const {backlog} = state;
 			state.backlog = [];
-			// In a frozen node all that is due happens at once.
+			// A suspended node runs all deferred actions at once when it resumes.
 			for (const run of backlog) {
 				run();
 			}
@@ -316,8 +315,8 @@
 			}
 		}
 
-		after(shortestDetectionMs, () => {
-			separate(nodes, 'dead', detectionSpreadMs);
+		after(minimumDetectionMs, () => {
+			setStatusAcross(nodes, 'dead', detectionSpreadMs);
 		});
 	};
 
@@ -347,7 +346,7 @@
 				break;
 			}
 
-			// Asked for when a caller would come.
+			// Evaluated whenever a request would arrive.
 			case 'deserted':
 		}
 	};
@@ -357,7 +356,7 @@
 	}
 
 	for (const node of states.keys()) {
-		want(node);
+		startCaller(node);
 		after(random.below(tickMs), () => {
 			tick(node);
 		});
@@ -377,15 +376,15 @@
 };
 
 /**
-The most requests in any span.
+Returns the maximum number of requests in any window.
 */
 export const mostIn = (
 	arrivals: readonly LimitArrival[],
-	spanMs: number,
+	windowMs: number,
 	from = 0,
 	until = Infinity,
 ): number =>
 	mostInSpan(
 		arrivals.map(({at}) => at).filter((at) => at >= from && at <= until),
-		spanMs,
+		windowMs,
 	);
--- a/tests/backend-limits/limit-rules.ts
+++ b/tests/backend-limits/limit-rules.ts
@@ -8,7 +8,7 @@
 import type {LimitNode, LimitRule} from './limit-model.ts';
 
 /**
-The rule of the product.
+The rule of the gateway.
 */
 export const createSharedRule = (node: LimitNode): LimitRule => {
 	const {peers, reachableFraction} = createSenderNodes({
@@ -26,19 +26,19 @@
 	});
 };
 
-// A node takes what its own answers say, and nothing else.
-const createLonelyRule = (
+// A node uses only the limits in its perNode responses.
+const createLocalRule = (
 	shareOf: (perSecond: number) => LimitShare,
 	clock: () => number,
 ): LimitRule => {
 	let limit: number | undefined;
 	const bucket = createTokenBucket(clock());
 	return {
-		recordStatement(_life, {perSecond}) {
+		recordStatement(_incarnationId, {perSecond}) {
 			limit = perSecond;
 		},
 		receive: () => undefined,
-		canSend(_life, now) {
+		canSend(_incarnationId, now) {
 			if (limit === undefined) {
 				return true;
 			}
@@ -56,25 +56,25 @@
 };
 
 /**
-Each node keeps the whole limit by itself.
+Each node applies the full limit on its perNode.
 */
 export const createUncoordinatedRule = ({clock}: LimitNode): LimitRule =>
-	createLonelyRule(
+	createLocalRule(
 		(perSecond) => ({perSecond, burst: Math.max(1, perSecond)}),
 		clock,
 	);
 
 /**
-Each node keeps an equal part of the limit.
+Each node applies an equal share of the limit.
 */
 export const createEqualRule = ({others, clock}: LimitNode): LimitRule =>
-	createLonelyRule((perSecond) => {
-		const own = perSecond / (others().length + 1);
-		return {perSecond: own, burst: Math.max(1, own)};
+	createLocalRule((perSecond) => {
+		const perNode = perSecond / (others().length + 1);
+		return {perSecond: perNode, burst: Math.max(1, perNode)};
 	}, clock);
 
 /**
-Nothing is read.
+Limits are ignored.
 */
 export const createNoRule = (): LimitRule => ({
 	recordStatement: () => undefined,
--- a/tests/backend-limits/limit-statement.test.ts
+++ b/tests/backend-limits/limit-statement.test.ts
@@ -7,13 +7,13 @@
 	type LimitStatements,
 } from '../../src/backend-limits/index.ts';
 
-const said = (
+const statementOf = (
 	perSecond: number | undefined,
 	earliest: number,
 	latest: number,
 ): LimitStatement => ({perSecond, earliest, latest});
 
-const after = (
+const limitAfter = (
 	...statements: readonly LimitStatement[]
 ): number | undefined => {
 	let known: LimitStatements = [];
@@ -25,55 +25,87 @@
 };
 
 const cases = [
-	['a limit that falls', said(10, 0, 10), said(4, 20, 30), 4],
-	['a limit that rises', said(4, 0, 10), said(10, 20, 30), 10],
-	['a limit that ends', said(4, 0, 10), said(undefined, 20, 30), undefined],
-	['a limit that begins', said(undefined, 0, 10), said(4, 20, 30), 4],
-	['an older answer', said(10, 20, 30), said(4, 0, 10), 10],
-	['a higher limit of the same time', said(4, 0, 30), said(10, 10, 40), 4],
-	['a lower limit of the same time', said(10, 0, 30), said(4, 10, 40), 4],
-	['no limit at the same time', said(4, 0, 30), said(undefined, 10, 40), 4],
+	['a limit that falls', statementOf(10, 0, 10), statementOf(4, 20, 30), 4],
+	['a limit that rises', statementOf(4, 0, 10), statementOf(10, 20, 30), 10],
+	[
+		'a limit that ends',
+		statementOf(4, 0, 10),
+		statementOf(undefined, 20, 30),
+		undefined,
+	],
+	[
+		'a limit that begins',
+		statementOf(undefined, 0, 10),
+		statementOf(4, 20, 30),
+		4,
+	],
+	['an older answer', statementOf(10, 20, 30), statementOf(4, 0, 10), 10],
+	[
+		'a higher limit of the same time',
+		statementOf(4, 0, 30),
+		statementOf(10, 10, 40),
+		4,
+	],
+	[
+		'a lower limit of the same time',
+		statementOf(10, 0, 30),
+		statementOf(4, 10, 40),
+		4,
+	],
+	[
+		'no limit at the same time',
+		statementOf(4, 0, 30),
+		statementOf(undefined, 10, 40),
+		4,
+	],
 ] as const;
 
-for (const [name, known, given, holds] of cases) {
-	test(`${name}: ${holds ?? 'none'} holds`, (t: TestContext) => {
-		t.assert.strictEqual(after(known, given), holds);
+for (const [name, known, added, expected] of cases) {
+	test(`${name}: ${expected ?? 'none'} is in effect`, (t: TestContext) => {
+		t.assert.strictEqual(limitAfter(known, added), expected);
 	});
 }
 
-test('a limit that has ended is not kept up by answers that were under way with those that named it', (t: TestContext) => {
-	const named = said(4, 0, 30);
-	const during = said(undefined, 20, 200);
-	t.assert.strictEqual(after(named, during), 4);
+test('responses that were in flight with those that stated a limit do not extend it after its end', (t: TestContext) => {
+	const named = statementOf(4, 0, 30);
+	const during = statementOf(undefined, 20, 200);
+	t.assert.strictEqual(limitAfter(named, during), 4);
 	t.assert.strictEqual(
-		after(named, during, said(undefined, 31, 60)),
+		limitAfter(named, during, statementOf(undefined, 31, 60)),
 		undefined,
 	);
 });
 
-test('a limit is found again under a lower one that ends', (t: TestContext) => {
-	const lower = said(2, 0, 10);
-	const higher = said(9, 5, 200);
-	t.assert.strictEqual(after(lower, higher), 2);
-	t.assert.strictEqual(after(lower, higher, said(undefined, 100, 210)), 9);
+test('a higher limit takes effect when a concurrent lower one ends', (t: TestContext) => {
+	const lower = statementOf(2, 0, 10);
+	const higher = statementOf(9, 5, 200);
+	t.assert.strictEqual(limitAfter(lower, higher), 2);
+	t.assert.strictEqual(
+		limitAfter(lower, higher, statementOf(undefined, 100, 210)),
+		9,
+	);
 });
 
-// The server makes its answers in this order; they are sent, and come, at any time before and after.
+// The server creates its responses in this order. Requests are sent at any time before, and responses arrive at any time limitAfter.
 const answers = fc.array(
 	fc.record({
 		perSecond: fc.constantFrom(undefined, 2, 5, 9),
 		sentBefore: fc.nat(400),
-		comesAfter: fc.nat(400),
+		arrivesAfter: fc.nat(400),
 	}),
 	{minLength: 1, maxLength: 12},
 );
 
-test('whatever overtakes what, no more holds than the newest answer that has come allows', (t: TestContext) => {
+test('with responses in any order, the limit is at most the one in the newest response received', (t: TestContext) => {
 	fc.assert(
-		fc.property(answers, (made) => {
-			const statements = made
-				.map(({perSecond, sentBefore, comesAfter}, index) =>
-					said(perSecond, index * 100 - sentBefore, index * 100 + comesAfter),
+		fc.property(answers, (responses) => {
+			const statements = responses
+				.map(({perSecond, sentBefore, arrivesAfter}, index) =>
+					statementOf(
+						perSecond,
+						index * 100 - sentBefore,
+						index * 100 + arrivesAfter,
+					),
 				)
 				.map((statement, index) => ({statement, index}))
 				.toSorted(
@@ -84,8 +116,8 @@
 			for (const {statement, index} of statements) {
 				newest = Math.max(newest, index);
 				known = addStatement(known, statement);
-				const holds = lowestStatement(known)?.perSecond ?? Infinity;
-				t.assert.ok(holds <= (made[newest]!.perSecond ?? Infinity));
+				const effective = lowestStatement(known)?.perSecond ?? Infinity;
+				t.assert.ok(effective <= (responses[newest]!.perSecond ?? Infinity));
 			}
 		}),
 	);
--- a/tests/backend-limits/shared-limit.test.ts
+++ b/tests/backend-limits/shared-limit.test.ts
@@ -1,5 +1,5 @@
-// Plays one limited server and few or many nodes, and counts all that reaches it, by whatever node: the server
-// states its limit for all of them together.
+// Guards against nodes that together exceed the limit that a server states for all of them: each node receives the limit only in
+// responses to its own requests or from other nodes. Simulates one limited server with few or many nodes and counts all requests.
 import {test, type TestContext} from 'node:test';
 import {
 	mostIn,
@@ -14,23 +14,23 @@
 	createSharedRule,
 } from './limit-rules.ts';
 
-// After a limit is named for the first time nodes have so long, and a server gets no more than this in any such
-// span, in milliseconds.
-const contactMs = 5000;
+// Time after the first statement of a limit from which it must be obeyed, and the window in which requests are counted, in
+// milliseconds.
+const convergenceMs = 5000;
 const windowMs = 4000;
 const allowedIn = (perSecond: number): number =>
 	1.5 * perSecond * (windowMs / 1000) + 5;
 
-const namedAt = 2000;
+const statedAt = 2000;
 const spanMs = 25_000;
 
-const play = (change: Partial<LimitPlan> & {readonly perSecond?: number}) =>
+const simulate = (change: Partial<LimitPlan> & {readonly perSecond?: number}) =>
 	simulateLimit({
 		seed: 1,
 		createRule: createSharedRule,
 		nodes: 9,
 		wantedPerSecond: 8,
-		limits: [{from: namedAt, perSecond: change.perSecond ?? 6}],
+		limits: [{from: statedAt, perSecond: change.perSecond ?? 6}],
 		spanMs,
 		...change,
 	});
@@ -41,20 +41,20 @@
 	until: number,
 ): number => arrivals.filter(({at}) => at >= from && at < until).length;
 
-// The part of a limit that is left for requests.
+// Fraction of a limit that is available for requests.
 const requestPart = 0.9;
 
 for (const nodes of [1, 3, 9, 65, 380]) {
 	for (const perSecond of [0.4, 1, 6, 40]) {
-		test(`${nodes} nodes send what a limit of ${perSecond} a second allows, and use it up`, (t: TestContext) => {
-			const arrivals = play({
+		test(`${nodes} nodes stay within a limit of ${perSecond} per second and use it up`, (t: TestContext) => {
+			const arrivals = simulate({
 				nodes,
 				perSecond,
 				wantedPerSecond: 30 / Math.min(3, nodes),
 			});
-			const most = mostIn(arrivals, windowMs, namedAt + contactMs);
+			const most = mostIn(arrivals, windowMs, statedAt + convergenceMs);
 			t.assert.ok(most <= allowedIn(perSecond), `${most} in 4 s`);
-			const from = namedAt + contactMs;
+			const from = statedAt + convergenceMs;
 			const used = countIn(arrivals, from, spanMs);
 			const full =
 				(Math.min(perSecond, nodes * 10) * requestPart * (spanMs - from)) /
@@ -65,49 +65,49 @@
 }
 
 const manyNodes = 40;
-const zoneOf = (part: number): ReadonlySet<number> =>
+const firstNodes = (part: number): ReadonlySet<number> =>
 	new Set(Array.from({length: manyNodes * part}, (_, index) => index));
 
-const troubles: ReadonlyArray<readonly [string, LimitEvent]> = [
+const faults: ReadonlyArray<readonly [string, LimitEvent]> = [
 	[
-		'a quarter of the nodes is cut off',
-		{kind: 'cut', from: 8000, until: 16_000, nodes: zoneOf(0.25)},
+		'a quarter of the nodes is partitioned',
+		{kind: 'cut', from: 8000, until: 16_000, nodes: firstNodes(0.25)},
 	],
 	[
-		'half of the nodes is cut off',
-		{kind: 'cut', from: 8000, until: 16_000, nodes: zoneOf(0.5)},
+		'half of the nodes is partitioned',
+		{kind: 'cut', from: 8000, until: 16_000, nodes: firstNodes(0.5)},
 	],
 	[
-		'half of the nodes stands still',
-		{kind: 'freeze', from: 8000, until: 13_000, nodes: zoneOf(0.5)},
+		'half of the nodes is suspended',
+		{kind: 'freeze', from: 8000, until: 13_000, nodes: firstNodes(0.5)},
 	],
 	[
-		'half of the nodes starts again',
-		{kind: 'restart', from: 10_000, nodes: zoneOf(0.5)},
+		'half of the nodes restarts',
+		{kind: 'restart', from: 10_000, nodes: firstNodes(0.5)},
 	],
 ];
 
-for (const [name, event] of troubles) {
+for (const [name, event] of faults) {
 	for (const perSecond of [1, 6, 25]) {
-		test(`a limit of ${perSecond} a second is kept while ${name}`, (t: TestContext) => {
+		test(`a limit of ${perSecond} per second is obeyed while ${name}`, (t: TestContext) => {
 			for (const seed of [1, 2, 3]) {
-				const arrivals = play({
+				const arrivals = simulate({
 					seed,
 					nodes: manyNodes,
 					perSecond,
 					events: [event],
 				});
-				// What starts again knows of no limit until it is told.
-				const isBound = ({at, node}: LimitArrival) =>
+				// A restarted node knows no limit until it receives one.
+				const shouldObey = ({at, node}: LimitArrival) =>
 					!(
 						event.kind === 'restart' &&
 						event.nodes.has(node) &&
-						at - event.from < contactMs
+						at - event.from < convergenceMs
 					);
 				const most = mostIn(
-					arrivals.filter((each) => isBound(each)),
+					arrivals.filter((each) => shouldObey(each)),
 					windowMs,
-					namedAt + contactMs,
+					statedAt + convergenceMs,
 				);
 				t.assert.ok(
 					most <= allowedIn(perSecond),
@@ -118,11 +118,11 @@
 	}
 }
 
-test('a limit that falls, rises and ends is followed by all nodes', (t: TestContext) => {
-	const arrivals = play({
+test('all nodes follow a limit that falls, rises and ends', (t: TestContext) => {
+	const arrivals = simulate({
 		nodes: manyNodes,
 		limits: [
-			{from: namedAt, perSecond: 20},
+			{from: statedAt, perSecond: 20},
 			{from: 10_000, perSecond: 2},
 			{from: 20_000, perSecond: 20},
 			{from: 30_000, perSecond: undefined},
@@ -149,14 +149,14 @@
 for (const [name, events] of [
 	['', []],
 	[
-		', also from others than those without callers',
-		[{kind: 'deserted', from: 6000, nodes: zoneOf(0.5)}],
+		', even if half of the nodes have no callers',
+		[{kind: 'deserted', from: 6000, nodes: firstNodes(0.5)}],
 	],
 ] as const) {
-	test(`a node that starts after the limit was named hears of it before it sends${name}`, (t: TestContext) => {
+	test(`a node that starts after a limit was stated receives it before it sends${name}`, (t: TestContext) => {
 		for (const seed of [1, 2, 3]) {
 			const late = manyNodes - 1;
-			const arrivals = play({
+			const arrivals = simulate({
 				seed,
 				nodes: manyNodes,
 				wantedPerSecond: 2,
@@ -171,15 +171,24 @@
 				20_000 + 2500,
 				32_000,
 			);
-			// Half as much as it would like to send, which is more than an equal part of the limit.
+			// Half of the requests that it receives, which is more than an equal share of the limit.
 			t.assert.ok(count <= 12, `seed ${seed}: ${count}`);
 		}
 	});
 }
 
-test('the check finds nodes that each count alone', (t: TestContext) => {
-	const alone = play({nodes: 9, createRule: createUncoordinatedRule});
-	t.assert.ok(mostIn(alone, windowMs, namedAt + contactMs) > allowedIn(6));
-	const equal = play({nodes: 65, createRule: createEqualRule, perSecond: 1});
-	t.assert.ok(mostIn(equal, windowMs, namedAt) > allowedIn(1));
+test('the check detects nodes that do not coordinate', (t: TestContext) => {
+	const uncoordinated = simulate({
+		nodes: 9,
+		createRule: createUncoordinatedRule,
+	});
+	t.assert.ok(
+		mostIn(uncoordinated, windowMs, statedAt + convergenceMs) > allowedIn(6),
+	);
+	const equal = simulate({
+		nodes: 65,
+		createRule: createEqualRule,
+		perSecond: 1,
+	});
+	t.assert.ok(mostIn(equal, windowMs, statedAt) > allowedIn(1));
 });
--- a/tests/backend-limits/stated-limit.test.ts
+++ b/tests/backend-limits/stated-limit.test.ts
@@ -8,7 +8,7 @@
 	['0', 0],
 	['0.05', 0.05],
 ] as const) {
-	test(`"${text}" is a limit`, (t: TestContext) => {
+	test(`"${text}" is parsed as a limit`, (t: TestContext) => {
 		t.assert.strictEqual(parseStatedLimit(text).unwrapOr(-1), perSecond);
 	});
 }
@@ -26,12 +26,12 @@
 	'6.2 a second',
 	'9999999999',
 ]) {
-	test(`"${text}" is no limit`, (t: TestContext) => {
+	test(`"${text}" is rejected as a limit`, (t: TestContext) => {
 		t.assert.ok(parseStatedLimit(text).isErr);
 	});
 }
 
-test('no text ends in anything but a rate or an error', (t: TestContext) => {
+test('any text is parsed to a rate or rejected with an error', (t: TestContext) => {
 	fc.assert(
 		fc.property(fc.string(), (text) => {
 			const limit = parseStatedLimit(text);
--- a/tests/server-statements/read-statements.test.ts
+++ b/tests/server-statements/read-statements.test.ts
@@ -27,7 +27,7 @@
 	});
 }
 
-test('Retry-After asks the node for a rest that received the 503 from the server itself', (t: TestContext) => {
+test('Retry-After requests a backoff only from the node that received the 503 directly from the server', (t: TestContext) => {
 	const relayed = answerOf(
 		{'retry-after': '3'},
 		{source: 'relayed answer', status: 503},
@@ -39,7 +39,7 @@
 	}
 });
 
-test('a misdirected answer states nothing about the server that was meant', (t: TestContext) => {
+test('a misdirected answer states nothing about the intended server', (t: TestContext) => {
 	const headers = {'x-leaving': '1', 'retry-after': '3', 'x-limit': '4'};
 	t.assert.deepStrictEqual(
 		read(answerOf(headers, {status: 421})).statements,
@@ -47,7 +47,7 @@
 	);
 });
 
-test('limit and load of a surplus answer are ignored, for its age is unknown', (t: TestContext) => {
+test('limit and load of a surplus answer are ignored, because its age is unknown', (t: TestContext) => {
 	const headers = {'x-limit': '4', 'x-load': '1,2,4', 'x-cold': '20'};
 	t.assert.deepStrictEqual(
 		read(answerOf(headers, {source: 'surplus answer'})).statements,
@@ -55,7 +55,7 @@
 	);
 });
 
-test('a missing limit ends one only in an answer that proves work', (t: TestContext) => {
+test('a missing limit ends an earlier one only in an answer that proves that the server works', (t: TestContext) => {
 	const ended = {perSecond: undefined, earliest: 100, latest: 150};
 	t.assert.deepStrictEqual(read(answerOf({})).statements.limit, ended);
 	const unsigned = answerOf({}, {isSigned: false});
@@ -71,7 +71,7 @@
 		'Retry-After "soon" is not a number of seconds',
 	],
 	['x-cold', '-1', 'cold', 'cold time "-1" is not a number of milliseconds'],
-	['x-limit', 'x', 'limit', 'limit "x": it is no decimal number'],
+	['x-limit', 'x', 'limit', 'limit "x": expected a decimal number'],
 ] as const) {
 	test(`"${name}: ${value}" is reported and the rest of the answer is read`, (t: TestContext) => {
 		const answer = answerOf({'x-load': '1,2,4', [name]: value}, {status: 503});
@@ -85,7 +85,7 @@
 	});
 }
 
-test('no headers make reading fail', (t: TestContext) => {
+test('reading does not throw for any headers', (t: TestContext) => {
 	const names = [...Object.values(headerNames), 'retry-after'];
 	fc.assert(
 		fc.property(
