--- a/src/server-statements/leaving-broadcast.ts
+++ b/src/server-statements/leaving-broadcast.ts
@@ -5,51 +5,51 @@
 import type {NodeOrder} from '../shared/index.ts';
 
 /**
-Tells the other nodes of the region which servers have announced their shutdown, so that also those stop sending that the
-server has not told.
+Broadcasts announced shutdowns of servers to the other nodes of the region, so that nodes to which the server has not announced
+its shutdown stop sending requests to it, too.
 
-The first node in rendezvous order for the server broadcasts, and the next ones only where nobody was heard to: a message for
-each pair of nodes would otherwise follow each shutdown.
+The first node in rendezvous order for the server broadcasts. Each further node broadcasts only if it has received no broadcast.
+Otherwise, each shutdown would cause one message for each pair of nodes.
 */
 export type LeavingBroadcast = {
 	/**
-	A server has announced its shutdown to this node.
+	Records that a server announced its shutdown to this node.
 	*/
 	recordAnnouncement(leaving: LeavingServer, now: number): void;
 	/**
-	Another node has broadcast it.
+	Records that another node broadcast the shutdown of a server.
 	*/
-	recordPeerBroadcast(life: string): void;
+	recordPeerBroadcast(incarnationId: string): void;
 	/**
-	Broadcasts what is due; called at each tick.
+	Sends the broadcasts that are due; called at each tick.
 	*/
 	tick(now: number): void;
 };
 
 /**
-What a broadcast is built from.
+Options of `createLeavingBroadcast`.
 */
 export type LeavingBroadcastOptions = {
 	readonly self: string;
 	readonly order: NodeOrder;
 	/**
-	Tells all other nodes of the region.
+	Sends a message to all other nodes of the region.
 	*/
 	readonly sendToPeers: (message: ServerLeavingMessage) => void;
 };
 
 /**
-Delay after which the next node in rendezvous order broadcasts instead, in milliseconds.
+Additional delay of each further node in rendezvous order before it broadcasts instead, in milliseconds.
 */
 export const leavingFailoverMs = 100;
 
 /**
-Nodes that come later in the order wait as long as this one.
+Rank from which the delay does not increase any further.
 */
 export const maximumFailoverRank = 10;
 
 /**
-Broadcasts of one shutdown, and the interval between them in milliseconds: datagrams are lost.
+Number of broadcasts of one shutdown, and the interval between them in milliseconds. Repetition compensates for lost datagrams.
 */
 export const leavingBroadcastCount = 3;
 export const leavingBroadcastIntervalMs = 700;
@@ -57,11 +57,11 @@
 type Pending = {
 	readonly leaving: LeavingServer;
 	dueAt: number;
-	left: number;
+	remaining: number;
 };
 
 /**
-Builds a broadcast that has nothing to tell.
+Creates a broadcast without announcements.
 */
 export const createLeavingBroadcast = ({
 	self,
@@ -73,13 +73,13 @@
 	return {
 		recordAnnouncement(leaving, now) {
 			const {incarnationId} = leaving;
-			const waitMs =
+			const delayMs =
 				Math.min(maximumFailoverRank, order.rank(incarnationId)) *
 				leavingFailoverMs;
 			pending.set(incarnationId, {
 				leaving,
-				dueAt: now + waitMs,
-				left: leavingBroadcastCount,
+				dueAt: now + delayMs,
+				remaining: leavingBroadcastCount,
 			});
 		},
 		recordPeerBroadcast(incarnationId) {
@@ -95,9 +95,9 @@
 			}
 
 			for (const each of due) {
-				each.left -= 1;
+				each.remaining -= 1;
 				each.dueAt = now + leavingBroadcastIntervalMs;
-				if (each.left === 0) {
+				if (each.remaining === 0) {
 					pending.delete(each.leaving.incarnationId);
 				}
 			}
--- a/src/server-statements/parse-statements.ts
+++ b/src/server-statements/parse-statements.ts
@@ -2,12 +2,12 @@
 import {parseDecimal} from '../shared/index.ts';
 
 /**
-The longest rest that a server is believed to ask for, in milliseconds.
+Maximum backoff that is accepted from a server, in milliseconds. Longer backoffs are shortened to it.
 */
 export const maximumRetryAfterMs = 86_400_000;
 
 /**
-Parses `Retry-After` of a backend server, in seconds with fractions, into milliseconds.
+Parses the `Retry-After` header of a backend server, in seconds with an optional fraction, into milliseconds.
 */
 export const parseRetryAfter = (text: string): Result<number, string> => {
 	const seconds = parseDecimal(text);
@@ -17,7 +17,7 @@
 };
 
 /**
-Parses the announcement that a server is shutting down: `1`, or `0` for none.
+Parses the announcement of a shutdown: `1`, or `0` for none.
 */
 export const parseLeaving = (text: string): Result<boolean, string> => {
 	switch (text.trim()) {
@@ -36,7 +36,7 @@
 };
 
 /**
-Parses the time for which a server stays cold, in milliseconds.
+Parses the remaining time for which a server is cold, in milliseconds.
 */
 export const parseCold = (text: string): Result<number, string> => {
 	const milliseconds = parseDecimal(text);
--- a/src/server-statements/read-statements.ts
+++ b/src/server-statements/read-statements.ts
@@ -14,10 +14,10 @@
 const misdirected = 421;
 
 /**
-Reads everything that a backend server states about itself in the head of an answer.
+Reads the statements that a backend server makes about itself in the headers of a response.
 
-An answer with status 421 is another server's and states nothing. A surplus answer is of unknown age, so only statements that
-do not depend on its age are read; a relayed one is subject to the relaying node's limits, load and rests.
+A response with status 421 comes from a different server and states nothing. The age of a surplus answer is unknown, so only
+statements that do not depend on the age are read. In a relayed answer, limit, load and backoff apply to the relaying node.
 */
 export const readStatements = (
 	names: StatementHeaders,
@@ -61,11 +61,11 @@
 
 type SourceTraits = {
 	/**
-	Whether the answer was made after its request was sent.
+	Whether the response was created after its request was sent.
 	*/
 	readonly isDated: boolean;
 	/**
-	Whether the server sent it to this node.
+	Whether the server sent the response to this node.
 	*/
 	readonly isDirect: boolean;
 };
@@ -82,7 +82,7 @@
 	'relayed answer': {isDated: false, isDirect: false},
 };
 
-// Without the header, only the answer of a server at work ends a limit.
+// If the header is missing, only a response that proves that the server works ends an earlier limit.
 const limitOf = (
 	{limit}: StatementHeaders,
 	{header, isSigned, sentAt, receivedAt}: StatedAnswer,
--- a/src/server-statements/server-announcements.ts
+++ b/src/server-statements/server-announcements.ts
@@ -5,31 +5,31 @@
 import type {StatementOrigin} from './statement-handler.ts';
 
 /**
-What backend servers have announced about receiving requests, by their lives.
+Shutdowns and backoffs that backend servers have announced, by incarnation.
 */
 export type ServerAnnouncements = {
 	/**
-	A server announced that it is shutting down.
+	Records that a server announced its shutdown.
 	*/
 	recordShutdown(origin: StatementOrigin): void;
 	/**
-	A server asked this node to send nothing for a while.
+	Records that a server requested a backoff from this node.
 	*/
-	recordBackoff(origin: StatementOrigin, restMs: number): void;
+	recordBackoff(origin: StatementOrigin, backoffMs: number): void;
 	readonly backoffs: Pick<
 		ServerBackoffs,
 		'remainingMs' | 'canSend' | 'recordAnswer' | 'hasAny'
 	>;
 	/**
-	A request is sent to a server.
+	Records that a request is sent to a server.
 	*/
-	recordSend(life: string, now: number): void;
+	recordSend(incarnationId: string, now: number): void;
 	/**
-	Ends rests that are over; called at each tick.
+	Ends expired backoffs; called at each tick.
 	*/
 	tick(now: number): void;
 	/**
-	For metrics: servers that announced a shutdown, servers that rest, and requests sent to either.
+	For metrics: servers that announced a shutdown, servers in backoff, and requests sent to either.
 	*/
 	leavingServers(): number;
 	serversInBackoff(now: number): number;
@@ -38,22 +38,22 @@
 };
 
 /**
-What standings are built from.
+Options of `createServerAnnouncements`.
 */
 export type ServerAnnouncementsOptions = {
 	readonly logger: Logger;
 	/**
-	Told once of each life of a server that announces its shutdown.
+	Called once for each server incarnation that announces its shutdown.
 	*/
 	readonly onLeaving: (origin: StatementOrigin) => void;
 	/**
-	A number from 0 to 1.
+	Returns a random number from 0 to 1.
 	*/
 	readonly randomFraction: () => number;
 };
 
 /**
-Builds standings of servers that have announced nothing.
+Creates an empty set of announcements.
 */
 export const createServerAnnouncements = ({
 	logger,
@@ -63,7 +63,7 @@
 	const leaving = createBoundedSet<string>(maximumLeavingIncarnations);
 	const backoffs = createServerBackoffs(randomFraction);
 	let sentToLeaving = 0;
-	let sentToResting = 0;
+	let sentDuringBackoff = 0;
 
 	return {
 		backoffs,
@@ -76,13 +76,13 @@
 			leaving.add(incarnationId);
 			logger.info(
 				{server: incarnationId, source, ageMs: Math.round(receivedAt - sentAt)},
-				'backend server leaves',
+				'backend server is shutting down',
 			);
 			onLeaving(origin);
 		},
-		recordBackoff({incarnationId, source, sentAt, receivedAt}, restMs) {
-			const wasResting = backoffs.begin(incarnationId, restMs, receivedAt);
-			if (wasResting) {
+		recordBackoff({incarnationId, source, sentAt, receivedAt}, backoffMs) {
+			const wasInBackoff = backoffs.begin(incarnationId, backoffMs, receivedAt);
+			if (wasInBackoff) {
 				return;
 			}
 
@@ -90,27 +90,27 @@
 				{
 					server: incarnationId,
 					source,
-					restMs,
+					restMs: backoffMs,
 					ageMs: Math.round(receivedAt - sentAt),
 				},
-				'backend server rests',
+				'backend server requested a backoff',
 			);
 		},
 		recordSend(incarnationId, now) {
 			sentToLeaving += leaving.has(incarnationId) ? 1 : 0;
-			sentToResting += backoffs.remainingMs(incarnationId, now) > 0 ? 1 : 0;
+			sentDuringBackoff += backoffs.remainingMs(incarnationId, now) > 0 ? 1 : 0;
 		},
 		tick(now) {
 			for (const incarnationId of backoffs.tick(now)) {
 				logger.info(
-					{server: incarnationId, sentToResting},
-					'rest of a backend server ended',
+					{server: incarnationId, sentToResting: sentDuringBackoff},
+					'backoff of a backend server ended',
 				);
 			}
 		},
 		leavingServers: leaving.size,
 		serversInBackoff: backoffs.activeCount,
 		sentToLeaving: () => sentToLeaving,
-		sentDuringBackoff: () => sentToResting,
+		sentDuringBackoff: () => sentDuringBackoff,
 	};
 };
--- a/src/server-statements/server-backoffs.ts
+++ b/src/server-statements/server-backoffs.ts
@@ -1,141 +1,147 @@
 /**
-The rests that backend servers asked this node for, by their lives. A rest binds the node that was asked, and no other.
+Backoffs that backend servers requested from this node, by server incarnation. A backoff applies only to the node that received
+the request.
 */
 export type ServerBackoffs = {
 	/**
-	A server asked for a rest. The longest that was asked for holds.
+	Begins a backoff that a server requested. It does not shorten a backoff in effect.
 
-	@returns Whether it rested already.
+	@returns Whether the server was already in backoff.
 	*/
-	begin(life: string, restMs: number, now: number): boolean;
+	begin(incarnationId: string, backoffMs: number, now: number): boolean;
 	/**
-	Milliseconds until a server may be sent anything; 0 where it may be now.
+	Returns the milliseconds until the backoff of a server ends; 0 if it has none.
 	*/
-	remainingMs(life: string, now: number): number;
+	remainingMs(incarnationId: string, now: number): number;
 	/**
-	Whether one more request may be sent to a server. After a rest the allowed requests in flight double with each round of
-	answers (slow start), so that those that were held back do not arrive all at once.
+	Whether another request may be sent to a server. After a backoff, the allowed requests in flight double with each round of
+	responses (slow start), so that delayed requests do not arrive all at once.
 
 	@param inFlight Requests of this node in flight at the server.
 	*/
-	canSend(life: string, inFlight: number, now: number): boolean;
+	canSend(incarnationId: string, inFlight: number, now: number): boolean;
 	/**
-	A server answered a request.
+	Records that a server answered a request.
 	*/
-	recordAnswer(life: string, now: number): void;
+	recordAnswer(incarnationId: string, now: number): void;
 	/**
-	Whether any server rests, or returns from a rest.
+	Whether any server is in backoff or slow start.
 	*/
 	hasAny(): boolean;
 	/**
-	Servers that rest.
+	Returns the number of servers in backoff.
 	*/
 	activeCount(now: number): number;
 	/**
-	Ends returns that are complete; called at each tick.
+	Ends complete slow starts; called at each tick.
 
-	@returns The lives whose rest has ended since the last call.
+	@returns Ids of the incarnations whose backoff has ended since the last call.
 	*/
 	tick(now: number): readonly string[];
 };
 
 /**
-Servers whose rests are remembered; the earliest is forgotten first.
+Maximum number of backoffs; the oldest is evicted first.
 */
 export const maximumBackoffs = 2000;
 
 /**
-Requests under way with which a server has returned from its rest.
+Number of requests in flight at which a slow start is complete.
 */
 export const slowStartMaximumInFlight = 64;
 
 /**
-A return without enough requests to complete it ends after this time, in milliseconds.
+Maximum duration of a slow start, in milliseconds. It applies if too few requests arrive to complete the slow start.
 */
 export const maximumSlowStartMs = 10_000;
 
 /**
-Nodes begin to send again within this part of the rest after its end, and within this time in milliseconds: they were asked at
-the same moment.
+Maximum jitter added to a backoff, as a fraction of its duration and in milliseconds. Without jitter, nodes that received the
+request at the same time would resume at the same time.
 */
 export const jitterFraction = 0.2;
 export const maximumJitterMs = 500;
 
-type Rest = {
+type Backoff = {
 	until: number;
 	hasEnded: boolean;
 	answers: number;
 };
 
 /**
-Builds an empty set of rests.
+Creates an empty set of backoffs.
 
-@param randomFraction A number from 0 to 1.
+@param randomFraction Returns a random number from 0 to 1.
 */
 export const createServerBackoffs = (
 	randomFraction: () => number,
 ): ServerBackoffs => {
-	const rests = new Map<string, Rest>();
+	const backoffs = new Map<string, Backoff>();
 
-	const remainingMs = (life: string, now: number): number =>
-		Math.max(0, (rests.get(life)?.until ?? -Infinity) - now);
+	const remainingMs = (incarnationId: string, now: number): number =>
+		Math.max(0, (backoffs.get(incarnationId)?.until ?? -Infinity) - now);
 
-	const isComplete = ({until, answers}: Rest, now: number): boolean =>
+	const isSlowStartComplete = (
+		{until, answers}: Backoff,
+		now: number,
+	): boolean =>
 		answers + 1 >= slowStartMaximumInFlight ||
 		now - until >= maximumSlowStartMs;
 
 	return {
-		begin(life, restMs, now) {
-			const spreadMs =
-				Math.min(maximumJitterMs, restMs * jitterFraction) * randomFraction();
-			const until = now + restMs + spreadMs;
-			const known = rests.get(life);
-			const wasResting = known !== undefined && known.until > now;
-			rests.delete(life);
-			rests.set(life, {
+		begin(incarnationId, backoffMs, now) {
+			const jitterMs =
+				Math.min(maximumJitterMs, backoffMs * jitterFraction) *
+				randomFraction();
+			const until = now + backoffMs + jitterMs;
+			const known = backoffs.get(incarnationId);
+			const wasInBackoff = known !== undefined && known.until > now;
+			backoffs.delete(incarnationId);
+			backoffs.set(incarnationId, {
 				until: Math.max(until, known?.until ?? -Infinity),
 				hasEnded: false,
 				answers: 0,
 			});
-			if (rests.size > maximumBackoffs) {
-				rests.delete(rests.keys().next().value!);
+			if (backoffs.size > maximumBackoffs) {
+				backoffs.delete(backoffs.keys().next().value!);
 			}
 
-			return wasResting;
+			return wasInBackoff;
 		},
 		remainingMs,
-		canSend(life, inFlight, now) {
-			const rest = rests.get(life);
+		canSend(incarnationId, inFlight, now) {
+			const backoff = backoffs.get(incarnationId);
 			return (
-				rest === undefined || (rest.until <= now && inFlight <= rest.answers)
+				backoff === undefined ||
+				(backoff.until <= now && inFlight <= backoff.answers)
 			);
 		},
-		recordAnswer(life, now) {
-			const rest = rests.get(life);
-			if (rest && rest.until <= now) {
-				rest.answers += 1;
+		recordAnswer(incarnationId, now) {
+			const backoff = backoffs.get(incarnationId);
+			if (backoff && backoff.until <= now) {
+				backoff.answers += 1;
 			}
 		},
-		hasAny: () => rests.size > 0,
+		hasAny: () => backoffs.size > 0,
 		activeCount: (now) =>
-			rests
+			backoffs
 				.values()
 				.filter(({until}) => until > now)
 				.toArray().length,
 		tick(now) {
 			const ended: string[] = [];
-			for (const [life, rest] of rests) {
-				if (rest.until > now) {
+			for (const [incarnationId, backoff] of backoffs) {
+				if (backoff.until > now) {
 					continue;
 				}
 
-				if (!rest.hasEnded) {
-					rest.hasEnded = true;
-					ended.push(life);
+				if (!backoff.hasEnded) {
+					backoff.hasEnded = true;
+					ended.push(incarnationId);
 				}
 
-				if (isComplete(rest, now)) {
-					rests.delete(life);
+				if (isSlowStartComplete(backoff, now)) {
+					backoffs.delete(incarnationId);
 				}
 			}
 
--- a/src/server-statements/server-statements.ts
+++ b/src/server-statements/server-statements.ts
@@ -2,30 +2,30 @@
 import type {LimitStatement} from '../backend-limits/index.ts';
 
 /**
-What a backend server states about itself in one answer.
+Statements of a backend server about itself in one response.
 */
 export type ServerStatements = {
 	/**
-	It is shutting down and must not receive new requests.
+	Whether the server is shutting down and must not receive new requests.
 	*/
 	readonly isLeaving: boolean;
 	/**
-	How long it wants no requests from this node, in milliseconds.
+	Time for which the server requests to receive nothing from this node, in milliseconds.
 	*/
 	readonly backoffMs: number | undefined;
 	/**
-	Its rate limit over all nodes; undefined where the answer neither sets nor ends one.
+	Rate limit of the server for all nodes together; undefined if the response neither sets nor ends one.
 	*/
 	readonly limit: LimitStatement | undefined;
 	readonly load: StatedLoad | undefined;
 	/**
-	How much longer it is cold, in milliseconds.
+	Remaining time for which the server is cold, in milliseconds.
 	*/
 	readonly coldMs: number | undefined;
 };
 
 /**
-An answer that states nothing.
+Statements of a response that states nothing.
 */
 export const noStatements: ServerStatements = {
 	isLeaving: false,
@@ -36,12 +36,12 @@
 };
 
 /**
-A statement that cannot be read.
+A statement that cannot be parsed.
 */
 export type StatementFault = {
 	readonly kind: 'leaving' | 'rest' | 'limit' | 'load' | 'cold';
 	/**
-	Names the value received and what was expected.
+	Describes the received value and the expected one.
 	*/
 	readonly reason: string;
 };
--- a/src/server-statements/stated-answer.ts
+++ b/src/server-statements/stated-answer.ts
@@ -1,51 +1,51 @@
 /**
-The kinds of answers in which backend servers make statements.
+Kinds of responses in which backend servers make statements.
 */
 export const answerSources = [
 	/**
-	To a request, whole or the head of a stream, or a failure.
+	Response to a request: complete, the head of a stream, or an error.
 	*/
 	'answer',
 	/**
-	To a request that the server did not run.
+	Response to a request that the server did not run.
 	*/
 	'refusal',
 	/**
-	To an earlier request, received in place of the expected answer.
+	Response to an earlier request, received in place of the expected one.
 	*/
 	'surplus answer',
 	'health check',
 	'cache read',
 	'load report',
 	/**
-	Received by way of another node.
+	Response that another node relayed.
 	*/
 	'relayed answer',
 ] as const;
 
 /**
-One kind of answer.
+Kind of a response.
 */
 export type AnswerSource = (typeof answerSources)[number];
 
 /**
-The head of an answer, with the server that made it.
+Status and headers of a response, with the server that created it.
 */
 export type StatedAnswer = {
 	readonly server: string;
 	/**
-	Names the life of the server that the request was sent to.
+	Identifies the incarnation of the server to which the request was sent.
 	*/
 	readonly incarnationId: string;
 	readonly source: AnswerSource;
 	/**
-	When the request was sent, and when its answer came, by this node's clock in milliseconds.
+	Times at which the request was sent and its response arrived, by this node's clock in milliseconds.
 	*/
 	readonly sentAt: number;
 	readonly receivedAt: number;
 	readonly status: number;
 	/**
-	Whether it proves that the server works, so that a missing limit ends an earlier one.
+	Whether the response proves that the server works. In this case, a missing limit ends an earlier one.
 	*/
 	readonly isSigned: boolean;
 	readonly header: (name: string) => string | undefined;
--- a/src/server-statements/statement-handler.ts
+++ b/src/server-statements/statement-handler.ts
@@ -5,37 +5,39 @@
 import type {StatementHeaders} from './statement-headers.ts';
 
 /**
-Takes in what backend servers state about themselves. Every answer of a server passes through here.
+Processes the statements that backend servers make about themselves. Every response of a server passes through it.
 */
 export type StatementHandler = {
 	/**
-	@returns What the answer states, for what concerns its own request only.
+	Reads the statements in a response and calls the handlers.
+
+	@returns All statements of the response, for effects that concern only its own request.
 	*/
 	handle(answer: StatedAnswer): ServerStatements;
 };
 
 /**
-A server, and how its statement was received.
+A server, and the way in which its statement was received.
 */
 export type StatementOrigin = Pick<
 	StatedAnswer,
 	'server' | 'incarnationId' | 'sentAt' | 'receivedAt'
 > & {
 	/**
-	A kind of answer, or another node that told of one.
+	Kind of the response, or `node` if another node forwarded the statement.
 	*/
 	readonly source: AnswerSource | 'node';
 };
 
 /**
-Who acts on the statements.
+Options of `createStatementHandler`.
 */
 export type StatementHandlerOptions = {
 	readonly headers: StatementHeaders;
 	readonly onLeaving: (origin: StatementOrigin) => void;
-	readonly onBackoff: (origin: StatementOrigin, restMs: number) => void;
+	readonly onBackoff: (origin: StatementOrigin, backoffMs: number) => void;
 	readonly onLimit: (
-		life: string,
+		incarnationId: string,
 		statement: LimitStatement,
 		source: AnswerSource,
 	) => void;
@@ -43,7 +45,7 @@
 };
 
 /**
-Builds an intake.
+Creates a statement handler.
 */
 export const createStatementHandler = ({
 	headers,
--- a/src/server-statements/statement-headers.ts
+++ b/src/server-statements/statement-headers.ts
@@ -7,20 +7,20 @@
 	*/
 	readonly leaving: string;
 	/**
-	Requests a second that the server accepts from all nodes together, a decimal number.
+	Requests per second that the server accepts from all nodes together, a decimal number.
 	*/
 	readonly limit: string;
 	/**
-	`RUNNING,WAITING,SLOTS`; undefined where servers do not state it in headers, like the next one.
+	`RUNNING,WAITING,SLOTS`; undefined if servers do not state their load in a header.
 	*/
 	readonly load: string | undefined;
 	/**
-	How much longer the server is cold, in milliseconds.
+	Remaining time for which the server is cold, in milliseconds; undefined if servers do not state it in a header.
 	*/
 	readonly coldMs: string | undefined;
 };
 
 /**
-The standard header by which a server that refuses with 503 asks for a pause, in seconds (RFC 9110, 10.2.3).
+The standard header by which a server that responds with 503 requests a backoff, in seconds (RFC 9110, 10.2.3).
 */
 export const retryAfterHeader = 'retry-after';
--- a/tests/server-statements/leaving-broadcast.test.ts
+++ b/tests/server-statements/leaving-broadcast.test.ts
@@ -9,21 +9,26 @@
 
 const tickMs = 20;
 
-type Play = {
+type Simulation = {
 	readonly nodes: number;
 	/**
-	Which nodes the server tells, and when.
+	Nodes to which the server announces its shutdown, and the times.
 	*/
-	readonly told: ReadonlyMap<number, number>;
-	readonly lossOf: () => boolean;
+	readonly announced: ReadonlyMap<number, number>;
+	readonly isLost: () => boolean;
 	/**
-	Nodes that hear and tell nothing.
+	Nodes that neither receive nor send messages.
 	*/
 	readonly down?: ReadonlySet<number>;
 };
 
-// Plays a region in which messages arrive within a tick.
-const playRegion = ({nodes, told, lossOf, down = new Set()}: Play) => {
+// Simulates a region in which messages arrive within a tick.
+const simulateRegion = ({
+	nodes,
+	announced,
+	isLost,
+	down = new Set(),
+}: Simulation) => {
 	const ids = Array.from({length: nodes}, (_, index) => `node-${index}`);
 	const known = new Set<number>();
 	let messages = 0;
@@ -42,7 +47,7 @@
 					}
 
 					messages += 1;
-					if (!lossOf() && !down.has(to)) {
+					if (!isLost() && !down.has(to)) {
 						inbox.push({to, message});
 					}
 				}
@@ -60,7 +65,7 @@
 			}
 		}
 
-		for (const [index, at] of told) {
+		for (const [index, at] of announced) {
 			if (at === now && !known.has(index)) {
 				broadcasts[index]!.recordAnnouncement(
 					{server: 'a', incarnationId: 'a 1'},
@@ -82,30 +87,34 @@
 
 const isNeverLost = () => false;
 
-test('all nodes hear of a shutdown that the server told one of them', (t: TestContext) => {
-	const {known, messages} = playRegion({
+test('all nodes learn of a shutdown that the server announced to one of them', (t: TestContext) => {
+	const {known, messages} = simulateRegion({
 		nodes: 95,
-		told: new Map([[40, 0]]),
-		lossOf: isNeverLost,
+		announced: new Map([[40, 0]]),
+		isLost: isNeverLost,
 	});
 	t.assert.strictEqual(known, 95);
 	t.assert.strictEqual(messages, 94 * leavingBroadcastCount);
 });
 
-test('messages do not grow with the square of the nodes when the server tells all of them at once', (t: TestContext) => {
-	const told = new Map(Array.from({length: 95}, (_, index) => [index, 0]));
-	const {messages} = playRegion({nodes: 95, told, lossOf: isNeverLost});
+test('messages do not grow with the square of the nodes when the server announces its shutdown to all at once', (t: TestContext) => {
+	const announced = new Map(Array.from({length: 95}, (_, index) => [index, 0]));
+	const {messages} = simulateRegion({
+		nodes: 95,
+		announced,
+		isLost: isNeverLost,
+	});
 	t.assert.ok(messages <= 2 * 94 * leavingBroadcastCount, String(messages));
 });
 
-test('with every fifth message lost, at most one node in a hundred is not told', (t: TestContext) => {
+test('with every fifth message lost, at most one node in a hundred does not learn of a shutdown', (t: TestContext) => {
 	let missed = 0;
 	for (let seed = 1; seed <= 50; seed += 1) {
 		const random = createRandom(seed);
-		const {known} = playRegion({
+		const {known} = simulateRegion({
 			nodes: 10,
-			told: new Map([[seed % 10, 0]]),
-			lossOf: () => random.below(5) === 0,
+			announced: new Map([[seed % 10, 0]]),
+			isLost: () => random.below(5) === 0,
 		});
 		missed += 10 - known;
 	}
@@ -113,16 +122,16 @@
 	t.assert.ok(missed <= 5, `${missed} of 500`);
 });
 
-test('a node that is told broadcasts also when those before it in the order are down', (t: TestContext) => {
-	for (let told = 0; told < 9; told += 1) {
+test('a node broadcasts even if the nodes before it in the order are down', (t: TestContext) => {
+	for (let announced = 0; announced < 9; announced += 1) {
 		const down = new Set(Array.from({length: 9}, (_, index) => index));
-		const other = (told + 1) % 9;
-		down.delete(told);
+		const other = (announced + 1) % 9;
+		down.delete(announced);
 		down.delete(other);
-		const {known} = playRegion({
+		const {known} = simulateRegion({
 			nodes: 9,
-			told: new Map([[told, 0]]),
-			lossOf: isNeverLost,
+			announced: new Map([[announced, 0]]),
+			isLost: isNeverLost,
 			down,
 		});
 		t.assert.strictEqual(known, 2);
--- a/tests/server-statements/server-announcements.test.ts
+++ b/tests/server-statements/server-announcements.test.ts
@@ -7,7 +7,7 @@
 } from '../../src/server-statements/index.ts';
 import {answerOf} from './fixtures.ts';
 
-const standingsOf = (change: Partial<ServerAnnouncementsOptions> = {}) =>
+const announcementsOf = (change: Partial<ServerAnnouncementsOptions> = {}) =>
 	createServerAnnouncements({
 		logger: silentLogger,
 		onLeaving: () => undefined,
@@ -15,32 +15,35 @@
 		...change,
 	});
 
-test('a shutdown belongs to one life', (t: TestContext) => {
-	const standings = standingsOf();
-	standings.recordShutdown(answerOf({}));
-	standings.recordShutdown(answerOf({}));
-	t.assert.strictEqual(standings.leavingServers(), 1);
-	standings.recordSend('a 1', 0);
-	standings.recordSend('a 2', 0);
-	t.assert.strictEqual(standings.sentToLeaving(), 1);
+test('a shutdown applies to one incarnation', (t: TestContext) => {
+	const announcements = announcementsOf();
+	announcements.recordShutdown(answerOf({}));
+	announcements.recordShutdown(answerOf({}));
+	t.assert.strictEqual(announcements.leavingServers(), 1);
+	announcements.recordSend('a 1', 0);
+	announcements.recordSend('a 2', 0);
+	t.assert.strictEqual(announcements.sentToLeaving(), 1);
 });
 
-test('the lives that are remembered are bounded', (t: TestContext) => {
-	const standings = standingsOf();
+test('the number of retained shutdowns is bounded', (t: TestContext) => {
+	const announcements = announcementsOf();
 	for (let index = 0; index < maximumLeavingIncarnations + 10; index += 1) {
-		standings.recordShutdown(answerOf({}, {incarnationId: `a ${index}`}));
+		announcements.recordShutdown(answerOf({}, {incarnationId: `a ${index}`}));
 	}
 
-	t.assert.strictEqual(standings.leavingServers(), maximumLeavingIncarnations);
+	t.assert.strictEqual(
+		announcements.leavingServers(),
+		maximumLeavingIncarnations,
+	);
 });
 
-test('a rest ends when the longest that was asked for is over', (t: TestContext) => {
-	const standings = standingsOf();
-	standings.recordBackoff(answerOf({}, {receivedAt: 0}), 3000);
-	standings.recordBackoff(answerOf({}, {receivedAt: 100}), 500);
-	t.assert.strictEqual(standings.serversInBackoff(2999), 1);
-	standings.recordSend('a 1', 2999);
-	standings.recordSend('a 1', 3000);
-	t.assert.strictEqual(standings.sentDuringBackoff(), 1);
-	t.assert.strictEqual(standings.serversInBackoff(3000), 0);
+test('a backoff ends when the longest requested one is over', (t: TestContext) => {
+	const announcements = announcementsOf();
+	announcements.recordBackoff(answerOf({}, {receivedAt: 0}), 3000);
+	announcements.recordBackoff(answerOf({}, {receivedAt: 100}), 500);
+	t.assert.strictEqual(announcements.serversInBackoff(2999), 1);
+	announcements.recordSend('a 1', 2999);
+	announcements.recordSend('a 1', 3000);
+	t.assert.strictEqual(announcements.sentDuringBackoff(), 1);
+	t.assert.strictEqual(announcements.serversInBackoff(3000), 0);
 });
--- a/tests/server-statements/server-backoffs.test.ts
+++ b/tests/server-statements/server-backoffs.test.ts
@@ -7,40 +7,40 @@
 	maximumBackoffs,
 } from '../../src/server-statements/index.ts';
 
-const noSpread = () => 0;
+const noJitter = () => 0;
 
-test('a shorter rest that is asked for later does not end a longer one', (t: TestContext) => {
-	const rests = createServerBackoffs(noSpread);
-	rests.begin('a', 3000, 0);
-	rests.begin('a', 500, 100);
-	t.assert.strictEqual(rests.remainingMs('a', 1000), 2000);
+test('a later, shorter backoff does not end a longer one', (t: TestContext) => {
+	const backoffs = createServerBackoffs(noJitter);
+	backoffs.begin('a', 3000, 0);
+	backoffs.begin('a', 500, 100);
+	t.assert.strictEqual(backoffs.remainingMs('a', 1000), 2000);
 });
 
-test('a rest belongs to one life of one server', (t: TestContext) => {
-	const rests = createServerBackoffs(noSpread);
-	rests.begin('a 1', 3000, 0);
-	t.assert.strictEqual(rests.remainingMs('a 2', 0), 0);
-	t.assert.strictEqual(rests.canSend('a 2', 10, 0), true);
+test('a backoff applies to one incarnation of one server', (t: TestContext) => {
+	const backoffs = createServerBackoffs(noJitter);
+	backoffs.begin('a 1', 3000, 0);
+	t.assert.strictEqual(backoffs.remainingMs('a 2', 0), 0);
+	t.assert.strictEqual(backoffs.canSend('a 2', 10, 0), true);
 });
 
-test('answers during a rest do not end it', (t: TestContext) => {
-	const rests = createServerBackoffs(noSpread);
-	rests.begin('a', 3000, 0);
-	rests.recordAnswer('a', 1000);
-	t.assert.strictEqual(rests.canSend('a', 0, 2999), false);
+test('answers during a backoff do not end it', (t: TestContext) => {
+	const backoffs = createServerBackoffs(noJitter);
+	backoffs.begin('a', 3000, 0);
+	backoffs.recordAnswer('a', 1000);
+	t.assert.strictEqual(backoffs.canSend('a', 0, 2999), false);
 });
 
-test('after a rest, requests under way double with each round of answers', (t: TestContext) => {
-	const rests = createServerBackoffs(noSpread);
-	rests.begin('a', 1000, 0);
+test('after a backoff, requests in flight double with each round of answers', (t: TestContext) => {
+	const backoffs = createServerBackoffs(noJitter);
+	backoffs.begin('a', 1000, 0);
 	const rounds = [1, 2, 4, 8, 16, 32].map((expected) => {
 		let inFlight = 0;
-		while (rests.canSend('a', inFlight, 1000)) {
+		while (backoffs.canSend('a', inFlight, 1000)) {
 			inFlight += 1;
 		}
 
 		for (let index = 0; index < inFlight; index += 1) {
-			rests.recordAnswer('a', 1000);
+			backoffs.recordAnswer('a', 1000);
 		}
 
 		return [inFlight, expected] as const;
@@ -49,69 +49,69 @@
 		t.assert.strictEqual(inFlight, expected);
 	}
 
-	t.assert.deepStrictEqual(rests.tick(1000), ['a']);
-	t.assert.strictEqual(rests.hasAny(), false);
+	t.assert.deepStrictEqual(backoffs.tick(1000), ['a']);
+	t.assert.strictEqual(backoffs.hasAny(), false);
 });
 
-test('a return that too few requests complete ends by itself', (t: TestContext) => {
-	const rests = createServerBackoffs(noSpread);
-	rests.begin('a', 1000, 0);
-	rests.tick(1000 + maximumSlowStartMs);
+test('a slow start without enough requests ends after its maximum duration', (t: TestContext) => {
+	const backoffs = createServerBackoffs(noJitter);
+	backoffs.begin('a', 1000, 0);
+	backoffs.tick(1000 + maximumSlowStartMs);
 	t.assert.strictEqual(
-		rests.canSend('a', 100, 1000 + maximumSlowStartMs),
+		backoffs.canSend('a', 100, 1000 + maximumSlowStartMs),
 		true,
 	);
 });
 
-test('a server that asks for another rest on its return begins anew', (t: TestContext) => {
-	const rests = createServerBackoffs(noSpread);
-	rests.begin('a', 1000, 0);
-	rests.recordAnswer('a', 1000);
-	rests.recordAnswer('a', 1000);
-	rests.begin('a', 1000, 1000);
-	t.assert.strictEqual(rests.canSend('a', 0, 1999), false);
-	t.assert.strictEqual(rests.canSend('a', 1, 2000), false);
-	t.assert.strictEqual(rests.canSend('a', 0, 2000), true);
+test('a backoff during a slow start restarts the slow start', (t: TestContext) => {
+	const backoffs = createServerBackoffs(noJitter);
+	backoffs.begin('a', 1000, 0);
+	backoffs.recordAnswer('a', 1000);
+	backoffs.recordAnswer('a', 1000);
+	backoffs.begin('a', 1000, 1000);
+	t.assert.strictEqual(backoffs.canSend('a', 0, 1999), false);
+	t.assert.strictEqual(backoffs.canSend('a', 1, 2000), false);
+	t.assert.strictEqual(backoffs.canSend('a', 0, 2000), true);
 });
 
-test('rests are bounded', (t: TestContext) => {
-	const rests = createServerBackoffs(noSpread);
+test('the number of backoffs is bounded', (t: TestContext) => {
+	const backoffs = createServerBackoffs(noJitter);
 	for (let index = 0; index < maximumBackoffs + 10; index += 1) {
-		rests.begin(`a ${index}`, 1000, 0);
+		backoffs.begin(`a ${index}`, 1000, 0);
 	}
 
-	t.assert.strictEqual(rests.activeCount(0), maximumBackoffs);
+	t.assert.strictEqual(backoffs.activeCount(0), maximumBackoffs);
 });
 
-test('whatever is asked for and answered in any order, no request goes out before the latest end', (t: TestContext) => {
+test('for any order of backoffs and answers, no request is sent before the latest end', (t: TestContext) => {
 	const step = fc.record({
 		afterMs: fc.nat(2000),
-		restMs: fc.option(fc.nat(5000), {nil: undefined}),
+		backoffMs: fc.option(fc.nat(5000), {nil: undefined}),
 	});
 	fc.assert(
 		fc.property(
 			fc.array(step, {maxLength: 20}),
 			fc.double({min: 0, max: 1, noNaN: true}),
-			(steps, draw) => {
-				const rests = createServerBackoffs(() => draw);
+			(steps, fraction) => {
+				const backoffs = createServerBackoffs(() => fraction);
 				let now = 0;
 				let until = 0;
-				for (const {afterMs, restMs} of steps) {
+				for (const {afterMs, backoffMs} of steps) {
 					now += afterMs;
-					if (restMs === undefined) {
-						rests.recordAnswer('a', now);
+					if (backoffMs === undefined) {
+						backoffs.recordAnswer('a', now);
 					} else {
-						rests.begin('a', restMs, now);
-						until = Math.max(until, now + restMs);
+						backoffs.begin('a', backoffMs, now);
+						until = Math.max(until, now + backoffMs);
 					}
 
-					rests.tick(now);
-					const leftMs = Math.max(0, until - now);
-					const {length} = [rests.remainingMs('a', now)].filter(
-						(each) => each >= leftMs && each <= leftMs + maximumJitterMs,
+					backoffs.tick(now);
+					const minimumMs = Math.max(0, until - now);
+					const {length} = [backoffs.remainingMs('a', now)].filter(
+						(each) => each >= minimumMs && each <= minimumMs + maximumJitterMs,
 					);
 					t.assert.strictEqual(length, 1);
-					t.assert.ok(now >= until || !rests.canSend('a', 0, now));
+					t.assert.ok(now >= until || !backoffs.canSend('a', 0, now));
 				}
 			},
 		),
--- a/tests/server-statements/slow-start-model.test.ts
+++ b/tests/server-statements/slow-start-model.test.ts
@@ -2,7 +2,7 @@
 import {simulateReturn, slots} from './slow-start-model.ts';
 
 for (const nodes of [2, 9, 24]) {
-	test(`${nodes} nodes return to a server with fewer requests at once than it has slots, and use it up within 1.5 s`, (t: TestContext) => {
+	test(`${nodes} nodes resume with fewer simultaneous requests than the server has slots, and use it up within 1.5 s`, (t: TestContext) => {
 		for (let seed = 1; seed <= 10; seed += 1) {
 			const {most, usedAfterMs} = simulateReturn(
 				'spread and doubled',
@@ -15,6 +15,6 @@
 	});
 }
 
-test('the check finds nodes that return all at once', (t: TestContext) => {
+test('the check detects nodes that resume all at once', (t: TestContext) => {
 	t.assert.ok(simulateReturn('at once', 9, 1).most >= slots);
 });
