--- a/src/retries/decide-retry.ts
+++ b/src/retries/decide-retry.ts
@@ -9,50 +9,50 @@
 */
 export type AttemptFailure = {
 	/**
-	What the failure proves about the backend server having run the attempt.
+	What the failure proves about whether the backend server ran the attempt.
 	*/
 	readonly outcome: Outcome;
 	readonly error: GatewayError;
 
 	/**
-	Whether the other side said so itself; false where the connection failed.
+	Whether the server or node stated the failure itself; false if the connection failed.
 	*/
 	readonly isStated: boolean;
 	/**
-	Whether nothing was sent, because it must not be any more.
+	Whether the attempt was withdrawn before anything was sent.
 	*/
 	readonly isWithdrawn?: boolean;
 };
 
 /**
-The state of a request when an attempt has failed.
+State of a request after a failed attempt.
 */
 export type RetryContext = {
 	readonly failure: AttemptFailure;
 	readonly isRepeatable: boolean;
 	/**
-	Whether any byte of the answer has gone to the caller.
+	Whether any byte of the response has been sent to the caller.
 	*/
 	readonly hasDelivered: boolean;
 	/**
-	Whether the answer can be taken up at a count of tokens.
+	Whether the response can be resumed after a number of tokens.
 	*/
 	readonly isResumable: boolean;
 	readonly attempts: number;
 	readonly maximumAttempts: number;
 	/**
-	Milliseconds left until the deadline.
+	Milliseconds remaining until the deadline.
 	*/
 	readonly remainingMs: number;
 
 	/**
-	Whether the budget of retries holds another one.
+	Whether the retry budget allows another retry.
 	*/
 	readonly hasBudget: boolean;
 };
 
 /**
-What to do about a failed attempt.
+Action to take after a failed attempt.
 */
 export type RetryDecision =
 	| {readonly kind: 'retry'}
@@ -60,17 +60,17 @@
 	| {readonly kind: 'give-up'; readonly error: GatewayError};
 
 /**
-Less time than this before the deadline is not worth another attempt.
+Minimum remaining time before the deadline for another attempt, in milliseconds.
 */
 export const minimumAttemptMs = 20;
 
 /**
- Decides about another attempt; only the node at which a request entered asks this.
+ Decides whether to make another attempt. Only the node that received the request from the caller calls this.
  */
-export const decideRetry = (question: RetryContext): RetryDecision => {
-	const {failure, isRepeatable, hasDelivered, isResumable} = question;
+export const decideRetry = (context: RetryContext): RetryDecision => {
+	const {failure, isRepeatable, hasDelivered, isResumable} = context;
 	if (!isRepeatable && failure.outcome !== 'not-run') {
-		return giveUp(unknownOutcome(failure));
+		return giveUp(outcomeUnknown(failure));
 	}
 
 	if (hasDelivered && !isResumable) {
@@ -82,11 +82,11 @@
 		);
 	}
 
-	if (question.remainingMs < minimumAttemptMs) {
-		return giveUp(pastDeadline(failure));
+	if (context.remainingMs < minimumAttemptMs) {
+		return giveUp(deadlineExceeded(failure));
 	}
 
-	return question.attempts >= question.maximumAttempts || !question.hasBudget
+	return context.attempts >= context.maximumAttempts || !context.hasBudget
 		? giveUp(failure.error)
 		: {kind: hasDelivered ? 'resume' : 'retry'};
 };
@@ -96,14 +96,14 @@
 	error,
 });
 
-const unknownOutcome = (failure: AttemptFailure): GatewayError =>
+const outcomeUnknown = (failure: AttemptFailure): GatewayError =>
 	createGatewayError(
 		'outcome-unknown',
 		`The request may or may not have run and may not be repeated: ${failure.error.message}`,
 		{outcome: failure.outcome},
 	);
 
-const pastDeadline = (failure: AttemptFailure): GatewayError =>
+const deadlineExceeded = (failure: AttemptFailure): GatewayError =>
 	createGatewayError(
 		'deadline-exceeded',
 		`No time is left for another attempt: ${failure.error.message}`,
--- a/src/retries/retry-budget.ts
+++ b/src/retries/retry-budget.ts
@@ -1,38 +1,38 @@
 /**
-Bounds how much extra load retries may bring.
+Bound on the additional load that retries cause.
 */
 export type RetryBudget = {
 	/**
-	Counts a first attempt, which earns a part of a retry.
+	Counts a first attempt, which adds a fraction of a retry to the budget.
 	*/
 	earn(): void;
 
 	/**
-	Whether another retry may be made now.
+	Whether the budget allows another retry now.
 	*/
 	hasRetry(): boolean;
 
 	/**
-	Takes one retry from the budget.
+	Deducts one retry from the budget.
 	*/
 	spend(): void;
 };
 
 /**
-Retries earned by each request: one retry to ten requests.
+Retries that each request adds to the budget: one retry for ten requests.
 */
 export const retriesPerRequest = 0.1;
 
 /**
-The most retries that can be saved up, and what a fresh budget holds.
+Maximum and initial balance of the budget, in retries.
 */
 export const maximumBalance = 20;
 
 /**
- Builds a full budget.
+ Creates a budget with the maximum balance.
  
- As retries are a fixed fraction of requests, the loss of a region raises the load on
- the others by that fraction at the most, and not by the number of attempts.
+ Retries are a fixed fraction of requests, so the loss of a region increases the load on
+ the others by at most that fraction instead of by the number of attempts.
  */
 export const createRetryBudget = (
 	ratio = retriesPerRequest,
--- a/src/retries/retry-yield.ts
+++ b/src/retries/retry-yield.ts
@@ -1,36 +1,36 @@
 /**
-Learns whether it helps to send a request to another backend server after one answered with a fault.
-Some requests fail wherever they run; repeating those only adds load.
+Tracks how often a retry at another backend server succeeds after a server responded with an error. Some requests fail on every
+server; retrying them only adds load.
 */
 export type RetryYield = {
 	/**
-	Whether the next failed request of the route should be tried again.
+	Whether the next failed request of the route should be retried.
 	*/
 	isWorthwhile(route: string): boolean;
 	/**
-	Enters how such a retry ended.
+	Records the result of such a retry.
 	*/
 	record(route: string, isSuccess: boolean): void;
 };
 
 /**
-Below this share of successful retries, only a sample is retried.
+Fraction of successful retries below which only a sample of the failed requests is retried.
 */
 export const minimumRetryYield = 0.15;
 
 /**
-One of so many failed requests is retried all the same, to notice when retries help again.
+Sampling interval below the minimum yield: one of this many failed requests is retried, to detect when retries succeed again.
 */
 export const retrySampleInterval = 8;
 
-// What is taken as the share before anything was seen, and the weight of one more retry in it.
+// Initial yield, and yieldWeight of the latest retry in the moving average.
 const initialYield = 0.3;
-const weight = 0.1;
+const yieldWeight = 0.1;
 
-type Entry = {share: number; skipped: number};
+type Entry = {yieldFraction: number; skipped: number};
 
 /**
-Builds a yield that knows nothing yet.
+Creates a yield without recorded retries.
 */
 export const createRetryYield = (): RetryYield => {
 	const entries = new Map<string, Entry>();
@@ -41,7 +41,7 @@
 			return known;
 		}
 
-		const entry = {share: initialYield, skipped: 0};
+		const entry = {yieldFraction: initialYield, skipped: 0};
 		entries.set(route, entry);
 		return entry;
 	};
@@ -49,7 +49,7 @@
 	return {
 		isWorthwhile(route) {
 			const entry = entryOf(route);
-			if (entry.share >= minimumRetryYield) {
+			if (entry.yieldFraction >= minimumRetryYield) {
 				return true;
 			}
 
@@ -58,7 +58,8 @@
 		},
 		record(route, isSuccess) {
 			const entry = entryOf(route);
-			entry.share += ((isSuccess ? 1 : 0) - entry.share) * weight;
+			entry.yieldFraction +=
+				((isSuccess ? 1 : 0) - entry.yieldFraction) * yieldWeight;
 		},
 	};
 };
--- a/src/retries/window-retry-budget.ts
+++ b/src/retries/window-retry-budget.ts
@@ -1,37 +1,37 @@
 /**
-Bounds the retries that all nodes together send to a service.
+Bound on the retries that all nodes together send to a service.
 */
 export type SharedRetryBound = {
 	/**
-	Retries for each request of the window.
+	Retries per request in the window.
 	*/
 	readonly ratio: number;
 	readonly windowMs: number;
 	/**
-	Retries of the window on top of the ratio, over all nodes.
+	Retries of all nodes in the window in addition to the ratio.
 	*/
 	readonly slack: number;
 };
 
 /**
-One node's part of the retries to each service.
+One node's budget of retries to each service.
 */
 export type WindowRetryBudget = {
 	/**
-	Counts a request of a caller.
+	Counts a request from a caller.
 	*/
 	recordRequest(service: string, now: number): void;
 	/**
-	Takes a retry, or says that there is none left.
+	Deducts a retry; returns false if none is left.
 
-	@param nodes how many nodes share the slack.
+	@param nodes Number of nodes that share the slack.
 	*/
 	tryTake(service: string, nodes: number, now: number): boolean;
 };
 
 /**
-Part of the bound that is used. The rest covers what arrives later than it was sent, and nodes that
-are not known yet.
+Fraction of the bound that is used. The remainder covers retries that arrive later than they were sent, and nodes that are not
+known yet.
 */
 export const usedBudgetFraction = 0.7;
 
@@ -40,15 +40,15 @@
 type Bucket = {readonly startedAt: number; requests: number; retries: number};
 
 /**
-Builds a budget. The ratio is of this node's own requests, so the sum over all nodes keeps it
-without a message; the slack is split evenly.
+Creates a budget. The ratio applies to this node's own requests, so the sum over all nodes observes it without coordination; the
+slack is divided evenly.
 */
 export const createWindowRetryBudget = (
 	bound: SharedRetryBound,
 ): WindowRetryBudget => {
 	const services = new Map<string, Bucket[]>();
 
-	const current = (service: string, now: number): Bucket => {
+	const currentBucket = (service: string, now: number): Bucket => {
 		const buckets = services.get(service) ?? [];
 		services.set(service, buckets);
 		while (buckets[0] && buckets[0].startedAt < now - bound.windowMs) {
@@ -67,10 +67,10 @@
 
 	return {
 		recordRequest(service, now) {
-			current(service, now).requests += 1;
+			currentBucket(service, now).requests += 1;
 		},
 		tryTake(service, nodes, now) {
-			const bucket = current(service, now);
+			const bucket = currentBucket(service, now);
 			let requests = 0;
 			let retries = 0;
 			for (const each of services.get(service)!) {
--- a/tests/retries/retries.test.ts
+++ b/tests/retries/retries.test.ts
@@ -10,7 +10,7 @@
 	type RetryContext,
 } from '../../src/retries/index.ts';
 
-const question = (
+const contextOf = (
 	outcome: Outcome,
 	change: Partial<RetryContext> = {},
 ): RetryContext => ({
@@ -29,13 +29,13 @@
 	...change,
 });
 
-test('a request that is not repeatable is tried again only with proof that it did not run', () => {
+test('a non-repeatable request is retried only with proof that it did not run', () => {
 	assert.equal(
-		decideRetry(question('not-run', {isRepeatable: false})).kind,
+		decideRetry(contextOf('not-run', {isRepeatable: false})).kind,
 		'retry',
 	);
 	for (const outcome of ['unknown', 'ran'] as const) {
-		const decision = decideRetry(question(outcome, {isRepeatable: false}));
+		const decision = decideRetry(contextOf(outcome, {isRepeatable: false}));
 		assert.strictEqual(decision.kind, 'give-up');
 		assert.strictEqual(decision.error.kind, 'outcome-unknown');
 		assert.strictEqual(decision.kind, 'give-up');
@@ -43,31 +43,34 @@
 	}
 });
 
-test('no answer that has begun is started over', () => {
+test('a response that has begun is resumed or given up, not restarted', () => {
 	assert.equal(
-		decideRetry(question('unknown', {hasDelivered: true})).kind,
+		decideRetry(contextOf('unknown', {hasDelivered: true})).kind,
 		'resume',
 	);
 	const broken = decideRetry(
-		question('unknown', {hasDelivered: true, isResumable: false}),
+		contextOf('unknown', {hasDelivered: true, isResumable: false}),
 	);
 	assert.strictEqual(broken.kind, 'give-up');
 	assert.strictEqual(broken.error.kind, 'stream-broken');
 });
 
-test('budget, attempts and deadline each end the trying', () => {
+test('budget, attempts and deadline each end retries', () => {
 	assert.equal(
-		decideRetry(question('not-run', {hasBudget: false})).kind,
+		decideRetry(contextOf('not-run', {hasBudget: false})).kind,
 		'give-up',
 	);
-	assert.equal(decideRetry(question('not-run', {attempts: 4})).kind, 'give-up');
-	const late = decideRetry(question('not-run', {remainingMs: 1}));
+	assert.equal(
+		decideRetry(contextOf('not-run', {attempts: 4})).kind,
+		'give-up',
+	);
+	const late = decideRetry(contextOf('not-run', {remainingMs: 1}));
 	assert.strictEqual(late.kind, 'give-up');
 	assert.strictEqual(late.error.kind, 'deadline-exceeded');
 	assert.strictEqual(late.error.outcome, 'not-run');
 });
 
-test('whatever the state, what may have run and may not be repeated is never sent again', () => {
+test('in any state, a non-repeatable request that may have run is never retried', () => {
 	fc.assert(
 		fc.property(
 			fc.record({
@@ -80,7 +83,8 @@
 			fc.constantFrom<Outcome>('unknown', 'ran'),
 			(change, outcome) => {
 				assert.equal(
-					decideRetry(question(outcome, {...change, isRepeatable: false})).kind,
+					decideRetry(contextOf(outcome, {...change, isRepeatable: false}))
+						.kind,
 					'give-up',
 				);
 			},
@@ -88,7 +92,7 @@
 	);
 });
 
-test('over any span retries are at most the saved ones and a fixed share of the requests', () => {
+test('over any period, retries are at most the initial balance and a fixed fraction of the requests', () => {
 	fc.assert(
 		fc.property(fc.array(fc.boolean(), {maxLength: 2000}), (steps) => {
 			const budget = createRetryBudget();
--- a/tests/retries/retry-yield.test.ts
+++ b/tests/retries/retry-yield.test.ts
@@ -5,7 +5,7 @@
 	retrySampleInterval,
 } from '../../src/retries/index.ts';
 
-test('requests that fail wherever they run are soon retried as a sample only', () => {
+test('requests that fail on every server are soon only sampled for retries', () => {
 	const retryYield = createRetryYield();
 	let retried = 0;
 	for (let index = 0; index < 100; index += 1) {
@@ -19,7 +19,7 @@
 	assert.ok(retried > 5);
 });
 
-test('a few retries that help bring them back', () => {
+test('a few successful retries enable retries again', () => {
 	const retryYield = createRetryYield();
 	for (let index = 0; index < 50; index += 1) {
 		retryYield.record('route', false);
--- a/tests/retries/window-retry-budget.test.ts
+++ b/tests/retries/window-retry-budget.test.ts
@@ -5,7 +5,7 @@
 
 const bound = {ratio: 0.2, windowMs: 10_000, slack: 58};
 
-test('retries of all nodes in any window stay within ratio and slack, with any traffic', () => {
+test('for any traffic, retries of all nodes in any window stay within ratio and slack', () => {
 	const step = fc.record({
 		node: fc.integer({min: 0, max: 4}),
 		afterMs: fc.integer({min: 0, max: 400}),
@@ -37,7 +37,7 @@
 			for (const end of retries) {
 				const isInWindow = (at: number) => at <= end && at > end - 10_000;
 				const used = retries.filter((at) => isInWindow(at)).length;
-				// The rule also counts the window before, so what left this one a moment ago still counts.
+				// Requests that left this window recently may have counted when an earlier retry was allowed.
 				const earned = requests.filter(
 					(at) => at <= end && at > end - 11_000,
 				).length;
@@ -47,7 +47,7 @@
 	);
 });
 
-test('the slack is shared among the nodes', () => {
+test('the nodes share the slack', () => {
 	const budget = createWindowRetryBudget(bound);
 	let taken = 0;
 	while (budget.tryTake('s', 9, 0)) {
