--- a/src/backends/backend-fleet.ts
+++ b/src/backends/backend-fleet.ts
@@ -197,7 +197,7 @@
 						state.probingSince !== undefined) &&
 					now - state.probedAt >= probeIntervalMs &&
 					options.backoffs.remainingMs(state.incarnationId, now) === 0 &&
-					// The health probes of all nodes would exceed a rate limit on their serverSlots.
+					// The health probes of all nodes would exceed a rate limit on their own.
 					options.backendLimits.canSend(state.incarnationId, now),
 			);
 			for (const [, state] of due) {
--- a/src/retries/retry-yield.ts
+++ b/src/retries/retry-yield.ts
@@ -23,7 +23,7 @@
 */
 export const retrySampleInterval = 8;
 
-// Initial yield, and yieldWeight of the latest retry in the moving average.
+// Initial yield, and weight of the latest retry in the moving average.
 const initialYield = 0.3;
 const yieldWeight = 0.1;
 
--- a/tests/backend-limits/limit-rules.ts
+++ b/tests/backend-limits/limit-rules.ts
@@ -26,7 +26,7 @@
 	});
 };
 
-// A node uses only the limits in its perNode responses.
+// A node uses only the limits in its own responses.
 const createLocalRule = (
 	shareOf: (perSecond: number) => LimitShare,
 	clock: () => number,
@@ -56,7 +56,7 @@
 };
 
 /**
-Each node applies the full limit on its perNode.
+Each node applies the full limit on its own.
 */
 export const createUncoordinatedRule = ({clock}: LimitNode): LimitRule =>
 	createLocalRule(
--- a/tests/backend-limits/limit-statement.test.ts
+++ b/tests/backend-limits/limit-statement.test.ts
@@ -86,7 +86,7 @@
 	);
 });
 
-// The server creates its responses in this order. Requests are sent at any time before, and responses arrive at any time limitAfter.
+// The server creates its responses in this order. Requests are sent at any time before, and responses arrive at any time after.
 const answers = fc.array(
 	fc.record({
 		perSecond: fc.constantFrom(undefined, 2, 5, 9),
--- a/tests/server-statements/slow-start-model.ts
+++ b/tests/server-statements/slow-start-model.ts
@@ -10,7 +10,7 @@
 /**
 Result of a simulation.
 */
-export type Return = {
+export type ReturnResult = {
 	/**
 	Maximum number of requests that arrived within 50 ms.
 	*/
@@ -49,7 +49,7 @@
 	strategy: ReturnStrategy,
 	nodes: number,
 	seed: number,
-): Return => {
+): ReturnResult => {
 	const random = createRandom(seed);
 	const backoffs = Array.from({length: nodes}, () => {
 		const randomFraction = strategy === 'at once' ? () => 0 : random.fraction;
