--- a/src/registry/catch-up-position.ts
+++ b/src/registry/catch-up-position.ts
@@ -6,23 +6,23 @@
 import type {RegistryStamp} from './registry-stamp.ts';
 
 /**
-What to ask another node for, given its stamp: what came after the own position, everything, or nothing. Everything is asked for where the
-other node has later routes, or, once an era, where it holds to what the registry has lost. Revisions of a node that states no era say
-nothing once an era is known.
+The position from which to request changes of another node, given that node's stamp: this node's own position, the start position for
+a full read, or undefined for no request. A full read is needed if the other node has later routes, or, once per era, if it is ahead of
+the registry. Once an era is known, the revision of a node that states no era is ignored.
 */
 export const catchUpPosition = (
 	own: RegistryStamp & RegistryPosition,
-	told: RegistryStamp,
+	peer: RegistryStamp,
 	introducedEra: number | undefined,
 ): RegistryPosition | undefined => {
-	const era = told.era ?? startPosition.era;
-	if (isBefore(own, {era, revision: told.revision})) {
+	const era = peer.era ?? startPosition.era;
+	if (isBefore(own, {era, revision: peer.revision})) {
 		return {era: own.era, revision: own.revision};
 	}
 
-	const canKeepMore =
-		told.isAheadOfRegistry && era === own.era && introducedEra !== own.era;
-	return canKeepMore || told.routesVersion > own.routesVersion
+	const canHoldMore =
+		peer.isAheadOfRegistry && era === own.era && introducedEra !== own.era;
+	return canHoldMore || peer.routesVersion > own.routesVersion
 		? startPosition
 		: undefined;
 };
--- a/src/registry/era-tracker.ts
+++ b/src/registry/era-tracker.ts
@@ -4,11 +4,11 @@
 import type {RegistryPosition} from './registry-position.ts';
 
 /**
-Finds the era of the registry's answers.
+Determines the era of each answer of the registry.
 */
 export type EraTracker = {
 	/**
-	The era of an answer to a question that was asked at a position.
+	The era of an answer, given the position at which the request was sent.
 	*/
 	eraOf(answer: RegistryUpdate, asked: RegistryPosition): number;
 	/**
@@ -18,8 +18,8 @@
 };
 
 /**
-Builds a finder for one registry. The registry states the era, or it shows: a node that asks at a position that the registry had
-acknowledged must not be answered with an earlier one, nor must a stated era fall. Either begins an era that this node counts itself.
+Creates a tracker for one registry. A registry that states a later era begins that era. Otherwise this node detects a restore and
+increments the era itself: the answer is older than a position that the registry had confirmed, or a stated era decreased.
 */
 export const createEraTracker = (
 	mirror: Pick<RegistryMirror, 'isContradictedBy'>,
@@ -30,7 +30,7 @@
 	return {
 		eraOf(answer, asked) {
 			const {era: stated, revision, items} = answer;
-			const hasFallen =
+			const hasDecreased =
 				stated !== undefined &&
 				statedBefore !== undefined &&
 				stated < statedBefore;
@@ -42,7 +42,7 @@
 			const isEarlier =
 				revision < asked.revision ||
 				(answer.kind === 'snapshot' && mirror.isContradictedBy(answer, asked));
-			if (!isEarlier && !hasFallen) {
+			if (!isEarlier && !hasDecreased) {
 				return asked.era;
 			}
 
@@ -54,7 +54,7 @@
 					askedRevision: asked.revision,
 					items: items.length,
 				},
-				'registry answers with an earlier state than before, in no later era',
+				'registry went back to an earlier state without stating a later era',
 			);
 			return asked.era + 1;
 		},
--- a/src/registry/http-source.ts
+++ b/src/registry/http-source.ts
@@ -1,7 +1,7 @@
 /**
-Reads a registry over HTTP, in the project's own format: `GET /snapshot` answers everything, `GET
-/changes?after=REVISION&wait=MILLISECONDS` what came after a revision, held while there is nothing, or
-410 where that is no longer known. A value that cannot be read is taken for one, with a log line.
+Reads a registry over HTTP, in the project's own format. `GET /snapshot` returns all items. `GET
+/changes?after=REVISION&wait=MILLISECONDS` returns the changes after a revision; it is a long poll, and answers 410 if
+that part of the history is gone. A value that cannot be decoded becomes an `unreadable` item and is logged.
 */
 import {Agent, request} from 'undici';
 import {z} from 'zod';
@@ -16,7 +16,7 @@
 } from './registry-entry.ts';
 
 /**
-Paths of a registry.
+HTTP paths of a registry.
 */
 export const registryPaths = {
 	snapshot: '/snapshot',
@@ -24,7 +24,7 @@
 } as const;
 
 /**
-How long a registry may take to answer beyond what it is asked to hold a question, in milliseconds.
+Timeout of a request to the registry beyond the time for which the registry may hold it, in milliseconds.
 */
 export const registryTimeoutMs = 700;
 
@@ -135,7 +135,7 @@
 type RawItem = z.infer<typeof answerSchema>['items'][number];
 
 /**
-Builds the source; its calls never throw.
+Creates the source. Its calls never reject: errors become `unavailable` answers.
 */
 export const createHttpRegistrySource = (
 	address: Address,
--- a/src/registry/mirror-change.ts
+++ b/src/registry/mirror-change.ts
@@ -1,7 +1,7 @@
 import type {RegistryPosition} from './registry-position.ts';
 
 /**
-What changed by taking in an answer of the registry.
+A change of this node's copy of the registry.
 */
 export type MirrorChange =
 	| RegistryRestored
@@ -18,27 +18,27 @@
 	  };
 
 /**
-The registry came back from an older copy of itself.
+The registry was restored from an older copy of itself.
 */
 export type RegistryRestored = {
 	readonly kind: 'restored';
 	readonly from: RegistryPosition;
 	readonly to: RegistryPosition;
 	/**
-	Version of the routes in force, and of those in the copy.
+	Version of the routes in force, and of the routes in the copy.
 	*/
 	readonly routesVersion: number;
 	readonly copiedRoutesVersion: number;
 	/**
-	Entries known before that the copy lacks.
+	Number of entries that this node knew and the copy lacks.
 	*/
 	readonly lacking: number;
 	/**
-	Servers of the copy that are not used because their entries had been removed.
+	Number of servers in the copy that are not used because their entries had been removed.
 	*/
 	readonly heldBack: number;
 	/**
-	Evacuations that the copy lacks and that go on.
+	Number of evacuations that the copy lacks and that stay in force.
 	*/
 	readonly evacuationsKept: number;
 };
--- a/src/registry/mirror-state.ts
+++ b/src/registry/mirror-state.ts
@@ -10,24 +10,24 @@
 } from './registry-servers.ts';
 
 /**
-What the parts of the registry's copy work on.
+The state that the parts of the registry mirror share.
 */
 export type MirrorState = {
 	/**
-	What the registry holds under each key.
+	The registry's items by key.
 	*/
 	readonly rows: Map<string, RegistryItem>;
 	readonly routes: RegistryRoutes;
 	readonly servers: RegistryServers;
 	readonly evacuations: RegistryEvacuations;
 	/**
-	The revision with which the registry came back from an older copy. Later ones were written afterwards.
+	The revision at which the registry was restored from an older copy. Later revisions were written after the restore.
 	*/
 	copyRevision: number;
 };
 
 /**
-Builds the state of a node that knows nothing.
+Creates the empty state of a node that has read nothing.
 */
 export const createMirrorState = (): MirrorState => ({
 	rows: new Map(),
@@ -38,23 +38,23 @@
 });
 
 /**
-Whether a value must not replace another one, whatever their revisions: readable routes outlast unreadable ones, also for nodes that
-ask this one later, and the entry of a server's earlier life may arrive after that of its later one.
+Whether a value must not replace the current one, whatever their revisions. Unreadable routes do not replace readable ones, so that
+nodes that ask this node later receive readable ones. The entry of a server's earlier incarnation may arrive after that of a later one.
 */
 export const isSuperseded = (
 	{value}: RegistryItem,
 	current: RegistryItem | undefined,
 ): boolean => {
-	const kept = current?.value;
+	const currentValue = current?.value;
 	switch (value?.kind) {
 		case 'unreadable': {
-			return kept?.kind === 'routes';
+			return currentValue?.kind === 'routes';
 		}
 
 		case 'server': {
 			return (
-				kept?.kind === 'server' &&
-				(value.server.startedAt ?? 0) < (kept.server.startedAt ?? 0)
+				currentValue?.kind === 'server' &&
+				(value.server.startedAt ?? 0) < (currentValue.server.startedAt ?? 0)
 			);
 		}
 
--- a/src/registry/outgoing-items.ts
+++ b/src/registry/outgoing-items.ts
@@ -1,11 +1,11 @@
 /**
-The registry as this node passes it on: with what it knows beyond its entries.
+The registry's items as this node sends them to other nodes, including state that the registry itself does not hold.
 */
 import type {MirrorState} from './mirror-state.ts';
 import type {RegistryItem} from './registry-entry.ts';
 
 /**
-An item as it is passed on to another node.
+An item as it is sent to another node.
 */
 export const outgoingItem = (
 	{servers}: MirrorState,
@@ -36,7 +36,7 @@
 };
 
 /**
-All items as they are passed on.
+All items as they are sent to another node.
 */
 export const outgoingItems = (
 	state: MirrorState,
--- a/src/registry/registry-entry.ts
+++ b/src/registry/registry-entry.ts
@@ -2,19 +2,19 @@
 import type {Address} from '../shared/index.ts';
 
 /**
-A backend server as it registers itself.
+A backend server as it registers itself in the registry.
 */
 export type RegisteredServer = {
 	/**
-	A server that starts again may keep it; `startedAt` tells its lives apart.
+	A restarted server may keep its id; `startedAt` distinguishes its incarnations.
 	*/
 	readonly id: string;
 	/**
-	When it started, in milliseconds since the epoch by its own clock, where it says so.
+	When the server started, in milliseconds since the epoch by its own clock; absent if the server does not report it.
 	*/
 	readonly startedAt?: number;
 	/**
-	Rises with each write of this life, where the server numbers them.
+	Increases with each write of this incarnation; absent if the server does not number its writes.
 	*/
 	readonly sequence?: number;
 	readonly service: string;
@@ -23,53 +23,52 @@
 	readonly slots: number;
 	readonly isLeaving: boolean;
 	/**
-	How much longer it is cold, in milliseconds from when the entry was read.
+	How much longer the server is cold, in milliseconds from when the entry was read.
 	*/
 	readonly coldMs: number;
 };
 
 /**
-What one key of the registry holds.
+The value stored under one key of the registry.
 */
 export type RegistryValue =
 	| {readonly kind: 'server'; readonly server: RegisteredServer}
 	| {readonly kind: 'routes'; readonly document: RouteDocument}
 	/**
-	No request may go to the backend servers of the zone.
+	No request may be sent to the backend servers of the zone.
 	*/
 	| {readonly kind: 'evacuation'; readonly availabilityZone: string}
 	/**
-	Whoever wrote the key left nothing there that can be read. A server of that key is not to be used; routes stay
-	as they were.
+	The value could not be decoded. A server under this key must not be used; routes under it stay unchanged.
 	*/
 	| {readonly kind: 'unreadable'};
 
 /**
-One key at one revision; without a value it was removed.
+One key at one revision. An item without a value records the removal of the key.
 */
 export type RegistryItem = {
 	readonly key: string;
 	readonly revision: number;
 	readonly value: RegistryValue | undefined;
 	/**
-	Of a removal: the registry had been away shortly before, so the entry may only have lapsed.
-	Told by the node that read the removal, for others cannot know.
+	For a removal: the registry was unavailable shortly before, so the entry may only have lapsed.
+	Set by the node that read the removal, because other nodes cannot know.
 	*/
 	readonly canBeLapse?: boolean;
 	/**
-	Of what the registry lost or brought back when it came back from an older copy: how much longer the telling node keeps
-	an evacuation, or holds a server back, in milliseconds.
+	For state that the registry lost, or brought back, when it was restored from an older copy: how much longer the
+	sending node retains an evacuation, or holds a server back, in milliseconds.
 	*/
 	readonly provisionalMs?: number;
 };
 
 /**
-The whole registry at a revision.
+The whole registry at one revision.
 */
 export type RegistrySnapshot = {
 	/**
-	Counts how often the registry has come back from an older copy of itself, as the registry states it; revisions rise
-	within one era only.
+	How often the registry has been restored from an older copy of itself, as the registry states it. Revisions
+	increase only within one era.
 	*/
 	readonly era?: number;
 	readonly revision: number;
@@ -77,7 +76,7 @@
 };
 
 /**
-What a registry answers to the question for changes.
+An answer of the registry to a request for changes or for a snapshot.
 */
 export type RegistryAnswer =
 	| {
@@ -88,13 +87,13 @@
 	  }
 	| ({readonly kind: 'snapshot'} & RegistrySnapshot)
 	/**
-	The history before the revision is gone; a snapshot is needed.
+	The changes after the requested revision are no longer available; a snapshot is needed.
 	*/
 	| {readonly kind: 'history-lost'}
 	| {readonly kind: 'unavailable'; readonly reason: string};
 
 /**
-An answer that says something of the registry.
+An answer that carries registry data.
 */
 export type RegistryUpdate = Extract<
 	RegistryAnswer,
@@ -102,15 +101,15 @@
 >;
 
 /**
-Where the registry is read: the outside store, or another node.
+A source from which the registry is read: the external store or another node.
 */
 export type RegistrySource = {
 	/**
-	Everything, or why it cannot be had.
+	Reads all items, or returns the reason why they are unavailable.
 	*/
 	snapshot(): Promise<RegistryAnswer>;
 	/**
-	What came after a revision; held up to `waitMs` milliseconds while there is nothing.
+	Reads the changes after a revision. The request is held for up to `waitMs` milliseconds while there are none.
 	*/
 	changes(after: number, waitMs: number): Promise<RegistryAnswer>;
 	close(): Promise<void>;
--- a/src/registry/registry-evacuations.ts
+++ b/src/registry/registry-evacuations.ts
@@ -1,35 +1,35 @@
 import type {MirrorChange} from './mirror-change.ts';
 
 /**
-An evacuation that the registry lost when it came back from an older copy.
+An evacuation that the registry lost when it was restored from an older copy, and that this node retains.
 */
 export type RetainedEvacuation = {
 	readonly key: string;
 	readonly availabilityZone: string;
 	/**
-	How much longer it holds without being written again, in milliseconds.
+	How much longer the evacuation stays in force without being written again, in milliseconds.
 	*/
 	readonly remainingMs: number;
 };
 
 /**
-The zones whose backend servers must not be sent anything.
+The zones whose backend servers must not be sent any requests.
 */
 export type RegistryEvacuations = {
 	register(availabilityZone: string): readonly MirrorChange[];
 	remove(availabilityZone: string): readonly MirrorChange[];
 	/**
-	Goes on with an evacuation that the registry does not name any more, for a time.
+	Retains an evacuation that the registry no longer holds, for a limited time.
 	*/
 	retain(evacuation: RetainedEvacuation, now: number): readonly MirrorChange[];
 	/**
-	The key of a kept evacuation was removed.
+	Ends the retained evacuation whose key was removed.
 	*/
 	removeRetained(key: string): readonly MirrorChange[];
 	retained(now: number): readonly RetainedEvacuation[];
 	hasRetained(): boolean;
 	/**
-	Ends what was kept for its time.
+	Ends the retained evacuations whose time is over.
 	*/
 	expire(now: number): readonly MirrorChange[];
 	isActive(availabilityZone: string): boolean;
@@ -37,36 +37,36 @@
 };
 
 /**
-How long an evacuation holds that the registry lost, unless it is written again, in milliseconds. The operator writes
-again within seconds; requests to an evacuated zone do more harm than its idle servers.
+How long an evacuation that the registry lost stays in force unless it is written again, in milliseconds. The operator
+writes it again within seconds, and requests to an evacuated zone do more harm than its idle servers.
 */
 export const evacuationRetentionMs = 30_000;
 
 /**
-Builds a view without evacuations.
+Creates a view without evacuations.
 */
 export const createRegistryEvacuations = (): RegistryEvacuations => {
 	const active = new Set<string>();
-	const keptUntil = new Map<
+	const retainedUntil = new Map<
 		string,
 		{readonly key: string; readonly until: number}
 	>();
 
 	const remove = (availabilityZone: string): readonly MirrorChange[] => {
-		keptUntil.delete(availabilityZone);
+		retainedUntil.delete(availabilityZone);
 		active.delete(availabilityZone);
 		return [{kind: 'evacuation', availabilityZone, isActive: false}];
 	};
 
 	return {
 		register(availabilityZone) {
-			keptUntil.delete(availabilityZone);
+			retainedUntil.delete(availabilityZone);
 			active.add(availabilityZone);
 			return [{kind: 'evacuation', availabilityZone, isActive: true}];
 		},
 		remove,
 		retain({key, availabilityZone, remainingMs}, now) {
-			keptUntil.set(availabilityZone, {key, until: now + remainingMs});
+			retainedUntil.set(availabilityZone, {key, until: now + remainingMs});
 			if (active.has(availabilityZone)) {
 				return [];
 			}
@@ -75,11 +75,11 @@
 			return [{kind: 'evacuation', availabilityZone, isActive: true}];
 		},
 		removeRetained: (removedKey) =>
-			[...keptUntil]
+			[...retainedUntil]
 				.filter(([, {key}]) => key === removedKey)
 				.flatMap(([availabilityZone]) => remove(availabilityZone)),
 		retained: (now) =>
-			keptUntil
+			retainedUntil
 				.entries()
 				.map(([availabilityZone, {key, until}]) => ({
 					key,
@@ -87,9 +87,9 @@
 					remainingMs: Math.max(0, until - now),
 				}))
 				.toArray(),
-		hasRetained: () => keptUntil.size > 0,
+		hasRetained: () => retainedUntil.size > 0,
 		expire: (now) =>
-			[...keptUntil]
+			[...retainedUntil]
 				.filter(([, {until}]) => until <= now)
 				.flatMap(([availabilityZone]) => remove(availabilityZone)),
 		isActive: (availabilityZone) => active.has(availabilityZone),
--- a/src/registry/registry-follower.ts
+++ b/src/registry/registry-follower.ts
@@ -14,153 +14,153 @@
 import type {RegistryStamp} from './registry-stamp.ts';
 
 /**
-Keeps a node's copy of the registry up to date, from the registry itself and from other nodes.
+Keeps a node's registry mirror up to date, from the registry itself and from other nodes.
 */
 export type RegistryFollower = {
 	start(): void;
 	stop(): Promise<void>;
 	/**
-	Says what another node has of the registry; a node that is behind asks it.
+	Takes in the registry stamp of another node. A node that is behind requests the missing changes from it.
 	*/
 	receiveStamp(stamp: RegistryStamp, from: Address): void;
 	tick(now: number): void;
 	/**
-	When the copy was last confirmed by the registry, or by a node that had it confirmed.
+	When the mirror was last confirmed, by the registry itself or through a relay.
 	*/
 	confirmedAt(): number | undefined;
 	/**
-	Whether this node reads the registry itself and was answered the last time.
+	Whether this node reads the registry itself and its last request was answered.
 	*/
 	isReading(): boolean;
 };
 
 /**
-What a follower is built from.
+The mirror that a follower updates, and the sources it reads.
 */
 export type RegistryFollowerOptions = {
 	readonly mirror: RegistryMirror;
 	readonly registry: RegistrySource;
 	/**
-	Asks another node for what came after a position.
+	Requests the changes after a position from another node.
 	*/
 	readonly askPeer: (
 		peer: Address,
 		after: RegistryPosition,
 	) => Promise<RegistryAnswer>;
 	/**
-	Another node to ask while the registry does not answer.
+	Picks another node to ask while the registry does not answer.
 	*/
 	readonly pickPeer: () => Address | undefined;
 	/**
-	The node by way of which the registry is followed; undefined where this node reads it itself.
+	The node that relays the registry to this node; undefined if this node reads the registry itself.
 	*/
 	readonly relay: () => Address | undefined;
 	/**
-	Asks a relay for what came after a position; held while there is nothing.
+	Requests the changes after a position from a relay, as a long poll.
 	*/
 	readonly askRelay: (
 		relay: Address,
 		after: RegistryPosition,
 	) => Promise<RelayedAnswer | undefined>;
 	/**
-	Whether this node has just started, as all others may have, and knows what it needs to serve.
+	Whether this node has just started, as all others may have, and already has what it needs to serve requests.
 	*/
 	readonly hasJustStarted: () => boolean;
 	/**
-	Told after each answer and each failure of the registry.
+	Called after each answer and each failure of the registry.
 	*/
 	readonly onRead: () => void;
 	readonly clock: () => number;
 	/**
-	A random number from 0 up to 1.
+	Returns a random number from 0 (inclusive) to 1 (exclusive).
 	*/
 	readonly randomFraction: () => number;
 	readonly logger: Logger;
 	readonly onChanges: (changes: readonly MirrorChange[]) => void;
 	/**
-	Told when this node read changes from the registry itself, so that others may hear of them.
+	Called after this node read changes from the registry itself, so that it can announce them to other nodes.
 	*/
 	readonly announceChanges: () => void;
 };
 
 /**
-How long a question for changes is held, in milliseconds. A registry that falls silent is noticed
-that much later at the worst, well within the three seconds for a leaving backend server.
+Duration of a long poll of the registry, in milliseconds. It delays the detection of an unresponsive registry by at
+most this time, well within the three seconds allowed for the shutdown of a backend server.
 */
 export const registryLongPollMs = 1500;
 
 /**
-Pause between two answers, in milliseconds, so that a burst of changes costs one call.
+Pause between an answer and the next request, in milliseconds, so that a burst of changes costs one call.
 */
 export const registryPollPauseMs = 250;
 
 /**
-The same pause while a node does not know yet who reads the registry for its zone, in milliseconds. After a
-stop of all nodes each reads for itself while servers enter themselves one after the other, and each entry
-ends a question. No bound on changes is as short in the first seconds of a node.
+The same pause while a node does not know yet which node reads the registry for its zone, in milliseconds. After a
+restart of all nodes, each reads for itself while servers register one after the other, and each registration ends a
+long poll. In the first seconds of a node, no time limit for applying a change is as short as this pause.
 */
 export const startupPauseMs = 1000;
 
 /**
-Pause after a refusal or a failure, in milliseconds.
+Pause after the registry refused a request or failed, in milliseconds.
 */
 export const retryPauseMs = 400;
 
 /**
-How long a node that hears of a later revision waits for its own watch, in milliseconds.
+How long a node that learns of a later revision waits for its own read before it asks the other node, in milliseconds.
 */
 export const catchUpDelayMs = 120;
 
 /**
-How long a node reads the registry itself after its relay failed it, in milliseconds: until
-membership has found out about the relay.
+How long a node reads the registry itself after its relay failed, in milliseconds. By then, membership has detected the
+failure of the relay.
 */
 export const relayFallbackMs = 3000;
 
 /**
-A relay whose own confirmation is older has trouble with the registry, in milliseconds. Where there
-were changes a relay counts from when it asked, so the time of a held question is part of it.
+Maximum age of a relay's confirmation, in milliseconds; an older one shows that the relay cannot reach the registry.
+For an answer with changes, a relay counts the age from its request, so the age includes the duration of a long poll.
 */
 export const maximumRelayAgeMs = registryLongPollMs + 1000;
 
 /**
-Nodes whose relay cannot help them after the registry came back from an older copy read everything themselves, spread over this
-time, in milliseconds.
+Maximum jitter before a full read, in milliseconds. It spreads the reads of nodes whose relay cannot serve them after the
+registry was restored from an older copy.
 */
 export const fullReadJitterMs = 500;
 
 /**
-A registry that drops its history again this soon after everything was read is given a pause, in milliseconds.
+Minimum time between two full reads without a pause, in milliseconds, for a registry that keeps dropping its history.
 */
 export const fullReadIntervalMs = 1000;
 
 /**
-How this node's copy goes on.
+How this node updates its mirror next.
 
-`current`: by changes. `unverified`: the registry was away and states no era, so it may have come back from an older copy; its next
-answer only shows that it is back. `outdated`: everything is needed, from the relay where there is one. `reading`: everything is
-read from the registry.
+`current`: by changes. `unverified`: the registry was unavailable and states no era, so it may have been restored from an older copy;
+its next answer only shows that it is available again. `outdated`: a full read is needed, from the relay if there is one. `reading`: a
+full read of the registry itself.
 */
 type Progress = 'current' | 'unverified' | 'outdated' | 'reading';
 
 /**
-Builds a follower; nothing is asked before `start`.
+Creates a follower. It sends no request before `start`.
 */
 export const createRegistryFollower = (
 	options: RegistryFollowerOptions,
 ): RegistryFollower => {
 	const {mirror, registry, clock, logger} = options;
-	const answerEra = createEraTracker(mirror, logger);
+	const eraTracker = createEraTracker(mirror, logger);
 	let isRunning = false;
 	let progress: Progress = 'reading';
 	let fullReadAt = -Infinity;
-	let isInTouch: boolean | undefined;
+	let isRegistryAnswering: boolean | undefined;
 	let confirmedAt: number | undefined;
 	let isAskingPeer = false;
 	let isReading = false;
-	let ownReadsUntil = -Infinity;
+	let directReadsUntil = -Infinity;
 	let introducedEra: number | undefined;
-	let behindTimer: NodeJS.Timeout | undefined;
+	let catchUpTimer: NodeJS.Timeout | undefined;
 	let pause: NodeJS.Timeout | undefined;
 
 	const apply = (answer: RegistryUpdate, origin: AnswerOrigin) => {
@@ -170,18 +170,18 @@
 		}
 
 		options.onChanges(changes);
-		// What came from another node is known to others already.
+		// Other nodes already know changes that came from a node.
 		if (origin === 'registry') {
 			options.announceChanges();
 		}
 	};
 
-	const noteContact = (isNow: boolean, reason: string) => {
-		if (isInTouch === isNow) {
+	const recordContact = (isNow: boolean, reason: string) => {
+		if (isRegistryAnswering === isNow) {
 			return;
 		}
 
-		isInTouch = isNow;
+		isRegistryAnswering = isNow;
 		const facts = {revision: mirror.revision(), reason};
 		if (isNow) {
 			logger.info(facts, 'registry answers');
@@ -199,7 +199,7 @@
 		const wasEmpty = mirror.revision() === 0;
 		const answer = await options.askPeer(peer, after);
 		isAskingPeer = false;
-		if (!isRunning || !isTaken(answer)) {
+		if (!isRunning || !isUpdate(answer)) {
 			return;
 		}
 
@@ -213,13 +213,13 @@
 		}
 	};
 
-	const noteAnswered = (reason: string) => {
-		noteContact(true, reason);
+	const recordAnswer = (reason: string) => {
+		recordContact(true, reason);
 		isReading = true;
 		options.onRead();
 	};
 
-	const takeChanges = (
+	const applyChanges = (
 		answer: RegistryUpdate,
 		asked: RegistryPosition,
 		askedAt: number,
@@ -229,16 +229,17 @@
 			return 0;
 		}
 
-		const era = answerEra.eraOf(answer, asked);
+		const era = eraTracker.eraOf(answer, asked);
 		const own = mirror.position();
 		if (era === asked.era && era === own.era) {
 			apply({...answer, era}, 'registry');
 			confirmedAt = confirmationTime(answer, askedAt, clock());
-			noteAnswered(answer.kind);
+			recordAnswer(answer.kind);
 			return options.hasJustStarted() ? startupPauseMs : registryPollPauseMs;
 		}
 
-		// Changes after a revision of another era have a gap before them. Another node may have told of the later era meanwhile.
+		// Changes after a revision of another era would leave a gap. This node may have learned of the later era from another
+		// node in the meantime.
 		if (era > own.era) {
 			progress = 'outdated';
 		}
@@ -246,22 +247,22 @@
 		return 0;
 	};
 
-	const takeEverything = (
+	const applyFullRead = (
 		answer: RegistryUpdate,
 		asked: RegistryPosition,
 		askedAt: number,
 	): number => {
-		const era = answerEra.eraOf(answer, asked);
+		const era = eraTracker.eraOf(answer, asked);
 		apply({...answer, era}, 'registry');
 		fullReadAt = clock();
-		// Another node has told of a later era meanwhile.
+		// This node learned of a later era from another node in the meantime.
 		if (era < mirror.position().era) {
 			return registryPollPauseMs;
 		}
 
 		progress = 'current';
 		confirmedAt = askedAt;
-		noteAnswered(answer.kind);
+		recordAnswer(answer.kind);
 		return options.hasJustStarted() ? startupPauseMs : registryPollPauseMs;
 	};
 
@@ -269,8 +270,8 @@
 		mirror.sourceFailed(clock());
 		isReading = false;
 		options.onRead();
-		noteContact(false, reason);
-		if (progress === 'current' && !answerEra.isStated()) {
+		recordContact(false, reason);
+		if (progress === 'current' && !eraTracker.isStated()) {
 			progress = 'unverified';
 		}
 
@@ -298,15 +299,18 @@
 
 		switch (answer.kind) {
 			case 'changes': {
-				return takeChanges(answer, asked, askedAt);
+				return applyChanges(answer, asked, askedAt);
 			}
 
 			case 'snapshot': {
-				return takeEverything(answer, asked, askedAt);
+				return applyFullRead(answer, asked, askedAt);
 			}
 
 			case 'history-lost': {
-				logger.warn({...asked}, 'registry history is gone');
+				logger.warn(
+					{...asked},
+					'registry no longer has the requested changes; a full read is needed',
+				);
 				progress = 'outdated';
 				return clock() - fullReadAt < fullReadIntervalMs
 					? registryPollPauseMs
@@ -319,7 +323,7 @@
 		}
 	};
 
-	// Undefined where the relay cannot help.
+	// Returns the pause before the next request; undefined if the relay cannot serve this node.
 	const askRelay = async (relay: Address): Promise<number | undefined> => {
 		isReading = false;
 		const asked = mirror.position();
@@ -330,7 +334,7 @@
 
 		const own = mirror.position();
 		const isFresh = relayed !== undefined && relayed.ageMs <= maximumRelayAgeMs;
-		if (isFresh && isTaken(relayed.answer)) {
+		if (isFresh && isUpdate(relayed.answer)) {
 			const {answer, ageMs} = relayed;
 			const era = answer.era ?? startPosition.era;
 			if (era === own.era || (era > own.era && answer.kind === 'snapshot')) {
@@ -341,14 +345,14 @@
 			}
 		}
 
-		// Another node has told of a later era meanwhile, so the question was out of date.
+		// This node learned of a later era from another node in the meantime, so the request was out of date.
 		if (own.era !== asked.era) {
 			return 0;
 		}
 
 		logger.info(
 			{relay, ageMs: relayed?.ageMs, era: own.era},
-			'relay of the registry does not answer; reading the registry',
+			'registry relay is unavailable or out of date; reading the registry itself',
 		);
 		return undefined;
 	};
@@ -359,7 +363,7 @@
 			return pauseMs;
 		}
 
-		ownReadsUntil = clock() + relayFallbackMs;
+		directReadsUntil = clock() + relayFallbackMs;
 		if (progress !== 'outdated') {
 			return 0;
 		}
@@ -373,8 +377,8 @@
 		return askRegistry();
 	};
 
-	const relayOrOwnReads = (): Address | undefined =>
-		mirror.revision() === 0 || clock() < ownReadsUntil
+	const currentRelay = (): Address | undefined =>
+		mirror.revision() === 0 || clock() < directReadsUntil
 			? undefined
 			: options.relay();
 
@@ -386,7 +390,7 @@
 
 			case 'unverified':
 			case 'current': {
-				const relay = relayOrOwnReads();
+				const relay = currentRelay();
 				return relay === undefined ? askRegistry() : followRelay(relay);
 			}
 
@@ -413,20 +417,20 @@
 		},
 		async stop() {
 			isRunning = false;
-			clearTimeout(behindTimer);
+			clearTimeout(catchUpTimer);
 			clearTimeout(pause);
 			await registry.close();
 		},
 		receiveStamp(stamp, from) {
 			if (
-				behindTimer !== undefined ||
+				catchUpTimer !== undefined ||
 				catchUpPosition(mirror.stamp(), stamp, introducedEra) === undefined
 			) {
 				return;
 			}
 
-			behindTimer = setTimeout(() => {
-				behindTimer = undefined;
+			catchUpTimer = setTimeout(() => {
+				catchUpTimer = undefined;
 				const after = catchUpPosition(mirror.stamp(), stamp, introducedEra);
 				if (isRunning && after !== undefined) {
 					void askPeer(from, after);
@@ -444,11 +448,11 @@
 	};
 };
 
-const isTaken = (answer: RegistryAnswer): answer is RegistryUpdate =>
+const isUpdate = (answer: RegistryAnswer): answer is RegistryUpdate =>
 	answer.kind === 'changes' || answer.kind === 'snapshot';
 
-// An answer without changes that came after the whole wait was given when the wait was over. Any
-// other may have been given as soon as the question was asked, and been long on its way.
+// The registry sent an empty answer that took the full long poll when the poll ended. It may have sent any other answer
+// as soon as it received the request, and the answer may have been in transit since.
 const confirmationTime = (
 	answer: RegistryAnswer,
 	askedAt: number,
--- a/src/registry/registry-history.ts
+++ b/src/registry/registry-history.ts
@@ -1,27 +1,27 @@
 import type {RegistryItem} from './registry-entry.ts';
 
 /**
-The latest changes of the registry, for nodes that are a little behind.
+The latest changes of the registry, for nodes that are slightly behind.
 */
 export type RegistryHistory = {
 	add(item: RegistryItem): void;
 	/**
-	Forgets all changes; those after a revision will be complete.
+	Discards all changes. The history is complete again for changes after the given revision.
 	*/
 	restart(revision: number): void;
 	/**
-	The changes after a revision; undefined where they are not all kept.
+	The changes after a revision; undefined if some of them were discarded.
 	*/
 	after(revision: number): readonly RegistryItem[] | undefined;
 };
 
 /**
-Changes kept for other nodes.
+Maximum number of changes retained for other nodes.
 */
 export const maximumHistoryChanges = 400;
 
 /**
-Builds an empty history.
+Creates an empty history.
 */
 export const createRegistryHistory = (): RegistryHistory => {
 	const items: RegistryItem[] = [];
--- a/src/registry/registry-mirror.ts
+++ b/src/registry/registry-mirror.ts
@@ -20,7 +20,7 @@
 import {applyRestoredCopy} from './restored-copy.ts';
 
 /**
-Who gave an answer.
+The source of an answer.
 */
 export type AnswerOrigin = 'registry' | 'peer';
 
@@ -29,8 +29,8 @@
 */
 export type RegistryMirror = {
 	/**
-	Takes in what a source answered. Of an answer that is older than what is known, also by its era, only what never goes back
-	counts: later versions of the routes, and shutdowns.
+	Applies an answer. Of an answer that is older than the known state, by its era or its revision, only state that never goes
+	backward counts: later versions of the routes, and shutdowns.
 	*/
 	apply(
 		answer: RegistryUpdate,
@@ -38,65 +38,65 @@
 		origin: AnswerOrigin,
 	): readonly MirrorChange[];
 	/**
-	Ends the grace of lapsed entries; called at each tick.
+	Ends grace periods, hold-backs and retained evacuations whose time is over; called at each tick.
 	*/
 	expire(now: number): readonly MirrorChange[];
 	/**
-	A server announced its shutdown in an answer. Its entry may say otherwise for as long as the registry is away, so no entry
-	of the same life cancels that.
+	Records that a server announced its shutdown in an answer. Its entry may say otherwise while the registry is unavailable,
+	so no entry of the same incarnation cancels the shutdown.
 
-	@param life Names the life of the server.
+	@param incarnationId Identifies the incarnation of the server.
 	*/
-	recordShutdown(id: string, life: string): readonly MirrorChange[];
+	recordShutdown(id: string, incarnationId: string): readonly MirrorChange[];
 	/**
-	States that the source failed, so that entries missing afterwards may have lapsed meanwhile.
+	Records that the source failed, so that entries missing afterwards may have lapsed in the meantime.
 	*/
 	sourceFailed(now: number): void;
 	revision(): number;
 	position(): RegistryPosition;
 	/**
-	Whether a whole answer of the registry to a question asked at a position shows that the registry has come back from an
-	older copy since: a key has an earlier revision than it had, another version of the routes at the same one, or an early
-	revision though it had been removed.
+	Whether a snapshot that was requested at a position shows that the registry has been restored from an older copy since:
+	a key has an earlier revision than before, the routes have another version at the same revision, or a removed key is back
+	with a revision that is not later than the position.
 	*/
 	isContradictedBy(
 		snapshot: RegistrySnapshot,
 		asked: RegistryPosition,
 	): boolean;
 	/**
-	What other nodes are told with every heartbeat.
+	The stamp that is sent to other nodes with every heartbeat.
 	*/
 	stamp(): RegistryStamp & RegistryPosition;
 	/**
-	Whether routes may exist that the registry has lost and nobody has written again yet.
+	Whether routes may exist that the registry has lost and that were not written again yet.
 	*/
 	mayLackRoutes(now: number): boolean;
 	routes(): RouteTable | undefined;
 	/**
-	Version of the routes in force; 0 for none.
+	Version of the routes in force; 0 if there are none.
 	*/
 	routesVersion(): number;
 	servers(): ReadonlyMap<string, KnownServer>;
 	isEvacuated(availabilityZone: string): boolean;
 	/**
-	How many entries cannot be read.
+	Number of entries that could not be decoded.
 	*/
 	unreadable(): number;
 	evacuatedZones(): readonly string[];
 	/**
-	For another node: the changes after a position, or everything where they are not kept.
+	The answer for another node: the changes after a position, or a snapshot if they are no longer in the history.
 	*/
 	answerFor(after: RegistryCursor, now: number): RegistryAnswer;
 	snapshot(now: number): RegistrySnapshot;
 };
 
 /**
-For how long after a failure of the registry a missing entry may be a lapsed one, in milliseconds.
+How long after a failure of the registry a missing entry may be a lapsed one, in milliseconds.
 */
 export const lapseWindowMs = 3000;
 
 /**
-Builds an empty copy.
+Creates an empty mirror.
 */
 export const createRegistryMirror = (): RegistryMirror => {
 	const state = createMirrorState();
@@ -106,9 +106,9 @@
 	let {era, revision} = startPosition;
 	let failedAt = -Infinity;
 
-	const hasFailedLately = (now: number) => now - failedAt <= lapseWindowMs;
+	const hasFailedRecently = (now: number) => now - failedAt <= lapseWindowMs;
 
-	const takeItem = (
+	const applyItem = (
 		read: RegistryItem,
 		now: number,
 		origin: AnswerOrigin,
@@ -119,7 +119,7 @@
 
 		const item =
 			origin === 'registry' && read.value === undefined
-				? {...read, canBeLapse: hasFailedLately(now)}
+				? {...read, canBeLapse: hasFailedRecently(now)}
 				: read;
 		const current = rows.get(item.key);
 		const floor = Math.max(
@@ -194,24 +194,26 @@
 		}
 	};
 
-	// What a snapshot does not name has been removed at the latest by its revision.
+	// A key that a snapshot does not contain was removed at or before the snapshot's revision.
 	const removeMissing = (
 		snapshot: RegistrySnapshot,
 		now: number,
 	): readonly MirrorChange[] => {
 		const named = new Set(
-			snapshot.items.filter((item) => !isKeptOnly(item)).map(({key}) => key),
+			snapshot.items
+				.filter((item) => !isRetainedOnly(item))
+				.map(({key}) => key),
 		);
 		return rows
 			.values()
 			.filter((row) => !named.has(row.key) && row.revision <= snapshot.revision)
 			.flatMap(({key}) =>
-				takeItem(
+				applyItem(
 					{
 						key,
 						revision: snapshot.revision,
 						value: undefined,
-						canBeLapse: hasFailedLately(now),
+						canBeLapse: hasFailedRecently(now),
 					},
 					now,
 					'peer',
@@ -249,19 +251,19 @@
 		return [restored, ...changes];
 	};
 
-	const takeSnapshot = (
+	const applySnapshot = (
 		answer: RegistrySnapshot,
 		now: number,
 		origin: AnswerOrigin,
 	): readonly MirrorChange[] => {
-		// What changed between the last known revision and a snapshot is in the history, each key
-		// once and in its latest form; only before the first snapshot nothing is known.
+		// The changes between the last known revision and a snapshot enter the history, each key once and in its latest
+		// form. The history has a gap only before the first snapshot.
 		if (revision === 0) {
 			history.restart(answer.revision);
 		}
 
 		return [
-			...answer.items.flatMap((item) => takeItem(item, now, origin)),
+			...answer.items.flatMap((item) => applyItem(item, now, origin)),
 			...removeMissing(answer, now),
 		];
 	};
@@ -295,8 +297,8 @@
 			}
 
 			const changes = isWhole
-				? takeSnapshot(answer, now, origin)
-				: answer.items.flatMap((item) => takeItem(item, now, origin));
+				? applySnapshot(answer, now, origin)
+				: answer.items.flatMap((item) => applyItem(item, now, origin));
 			revision = Math.max(revision, answer.revision);
 			return changes;
 		},
@@ -350,12 +352,12 @@
 	};
 };
 
-// What another node keeps though the registry does not name it.
-const isKeptOnly = ({value, provisionalMs}: RegistryItem): boolean =>
+// An evacuation that another node retains although the registry does not hold it.
+const isRetainedOnly = ({value, provisionalMs}: RegistryItem): boolean =>
 	value?.kind === 'evacuation' && provisionalMs !== undefined;
 
-// Against what was known when the question was asked: a key whose later revision was known, other routes at the same one, or an entry
-// that was not there.
+// Compares an item with the row that was known when the request was sent. The item is earlier if the row had a later revision, if the
+// routes at the same revision differ, or if there was no row at that position.
 const isEarlierThan = (
 	item: RegistryItem,
 	row: RegistryItem | undefined,
--- a/src/registry/registry-position.ts
+++ b/src/registry/registry-position.ts
@@ -3,17 +3,17 @@
 */
 export type RegistryPosition = {
 	/**
-	How often the registry has come back from an older copy of itself; 0 while nothing is known of it.
+	How often the registry has been restored from an older copy of itself; 0 while that is unknown.
 	*/
 	readonly era: number;
 	/**
-	Rises with each change within one era.
+	Increases with each change within one era.
 	*/
 	readonly revision: number;
 };
 
 /**
-From where another node wants to hear of changes. Nodes of versions without eras state none.
+The position after which another node requests changes. Nodes running a version without eras state no era.
 */
 export type RegistryCursor = {
 	readonly era: number | undefined;
@@ -21,7 +21,7 @@
 };
 
 /**
-The position of a node that knows nothing.
+The position of a node that has read nothing.
 */
 export const startPosition: RegistryPosition = {era: 0, revision: 0};
 
--- a/src/registry/registry-relay.ts
+++ b/src/registry/registry-relay.ts
@@ -4,37 +4,37 @@
 import type {RegistryCursor} from './registry-position.ts';
 
 /**
-What a node that reads the registry tells one that does not.
+The answer of a node that reads the registry to a node that does not.
 */
 export type RelayedAnswer = {
 	readonly answer: RegistryAnswer;
 	/**
-	How long ago the registry confirmed it to the answering node, in milliseconds.
+	How long ago the registry confirmed this state to the answering node, in milliseconds.
 	*/
 	readonly ageMs: number;
 };
 
 /**
-Passes the registry on to other nodes of the zone, so that few nodes call the registry.
+Relays the registry to other nodes of the zone, so that few nodes call the registry itself.
 */
 export type RegistryRelay = {
 	/**
-	What came after a position; held until this node has news or a confirmation of its own.
+	Returns the changes after a position. The request is held until this node reads changes or a confirmation.
 	*/
 	answer(after: RegistryCursor): Promise<RelayedAnswer>;
 	/**
-	Answers what is held; to be called with each answer and each failure of the registry.
+	Answers the requests that are held. The caller invokes it after each answer and each failure of the registry.
 	*/
 	release(): void;
 };
 
 /**
-What a relay is built from.
+The mirror that a relay serves, and this node's connection to the registry.
 */
 export type RegistryRelayOptions = {
 	readonly mirror: RegistryMirror;
 	/**
-	Whether this node reads the registry itself and is answered.
+	Whether this node reads the registry itself and the registry answers.
 	*/
 	readonly isReading: () => boolean;
 	readonly confirmedAt: () => number | undefined;
@@ -42,26 +42,26 @@
 };
 
 /**
-How long a question is held at the most, in milliseconds. Longer than this node's own question to
-the registry is, so that the answer usually follows upon a confirmation.
+Maximum time for which a relay holds a request, in milliseconds. It is longer than this node's own long poll of the
+registry, so that the answer usually follows a confirmation by the registry.
 */
 export const relayLongPollMs = 1900;
 
 /**
-Builds a relay that holds nothing.
+Creates a relay that holds no requests.
 */
 export const createRegistryRelay = (
 	options: RegistryRelayOptions,
 ): RegistryRelay => {
 	const {mirror, clock, confirmedAt, isReading} = options;
-	const held = createLongPollWaiters();
+	const waiters = createLongPollWaiters();
 
 	const eraOf = (after: RegistryCursor) => after.era ?? mirror.position().era;
 
 	const answerNow = (after: RegistryCursor): RelayedAnswer => {
 		const now = clock();
-		// Two nodes that each take the other for the reader must not wait for each other. A node that knows a later era
-		// must not be answered with an earlier one.
+		// Two nodes that each consider the other to be the reader must not wait for each other. A node that knows a
+		// later era must not receive an answer of an earlier one.
 		return isReading() &&
 			mirror.revision() > 0 &&
 			eraOf(after) <= mirror.position().era
@@ -84,11 +84,11 @@
 				eraOf(after) === own.era &&
 				after.revision >= own.revision
 			) {
-				await held.wait(relayLongPollMs);
+				await waiters.wait(relayLongPollMs);
 			}
 
 			return answerNow(after);
 		},
-		release: held.release,
+		release: waiters.release,
 	};
 };
--- a/src/registry/registry-routes.ts
+++ b/src/registry/registry-routes.ts
@@ -7,37 +7,37 @@
 import type {RegistryItem} from './registry-entry.ts';
 
 /**
-The routes in force, whose version never goes back within one life of the process.
+The routes in force. Their version never decreases during one run of the process.
 */
 export type RegistryRoutes = {
 	/**
-	Takes what the registry holds under a key.
+	Records the routes that the registry holds under a key, and puts them in force if they are later.
 	*/
 	register(key: string, document: RouteDocument): readonly MirrorChange[];
 	/**
-	Takes what any node has read at any time.
+	Puts routes in force if they are later, whichever node read them and when.
 	*/
 	offer(key: string, document: RouteDocument): readonly MirrorChange[];
 	/**
-	The registry came back from an older copy, whose routes are registered next.
+	Records that the registry was restored from an older copy, whose routes are registered next.
 	*/
 	markRestored(now: number): void;
 	/**
-	The routes were written since then.
+	Records that the routes were written again after the restore.
 	*/
 	markRewritten(): void;
 	table(): RouteTable | undefined;
 	version(): number;
 	/**
-	The version that the registry holds; 0 for none.
+	The version that the registry holds; 0 if it holds none.
 	*/
 	registeredVersion(): number;
 	/**
-	Whether those in force are later than what the registry holds.
+	Whether the routes in force are later than those the registry holds.
 	*/
 	isAheadOfRegistry(): boolean;
 	/**
-	Whether routes may exist that the registry has lost and nobody has written again yet.
+	Whether routes may exist that the registry has lost and that were not written again yet.
 	*/
 	mayLack(now: number): boolean;
 	/**
@@ -47,13 +47,13 @@
 };
 
 /**
-How long routes are taken as incomplete after the registry came back from an older copy, unless they are written again, in
-milliseconds.
+How long routes are considered incomplete after the registry was restored from an older copy, unless they are written
+again, in milliseconds.
 */
 export const rewriteGraceMs = 3000;
 
 /**
-Builds a view without routes.
+Creates a view without routes.
 */
 export const createRegistryRoutes = (): RegistryRoutes => {
 	let inForce: {readonly key: string; readonly table: RouteTable} | undefined;
--- a/src/registry/registry-servers.ts
+++ b/src/registry/registry-servers.ts
@@ -4,37 +4,38 @@
 import {incarnationIdOf} from './server-incarnation.ts';
 
 /**
-A backend server as this node knows it.
+A backend server known to this node.
 */
 export type KnownServer = {
 	readonly server: RegisteredServer;
 	/**
-	When it was first seen cold, plus how long it stays so, on this node's clock.
+	When the server stops being cold, on this node's clock: the time of its first cold entry plus its remaining cold time.
 	*/
 	readonly coldUntil: number;
 };
 
 /**
-The backend servers that the registry names, and what outlasts their entries.
+The backend servers in the registry, and state that outlasts their entries.
 */
 export type RegistryServers = {
 	register(entry: RegisteredServer, now: number): readonly MirrorChange[];
 	/**
-	@param canBeLapse Whether the entry may only have lapsed while the registry was away.
+	@param canBeLapse Whether the entry may only have lapsed while the registry was unavailable.
 	*/
 	remove(id: string, canBeLapse: boolean, now: number): readonly MirrorChange[];
 	/**
-	Takes an entry of the older copy that the registry came back from.
+	Applies an entry of the older copy from which the registry was restored.
 
-	@param toldMs How much longer another node holds it back, in milliseconds.
+	@param peerHoldMs How much longer another node holds the server back, in milliseconds.
 	*/
 	registerFromCopy(
 		entry: RegisteredServer,
-		toldMs: number,
+		peerHoldMs: number,
 		now: number,
 	): readonly MirrorChange[];
 	/**
-	Does not use a server whose entry an older copy brought back, until it is written again or has lasted.
+	Holds back a server whose entry an older copy brought back: it is not used until its entry is written again or the
+	time is over.
 	*/
 	holdBack(
 		entry: RegisteredServer,
@@ -42,51 +43,51 @@
 		now: number,
 	): readonly MirrorChange[];
 	/**
-	How much longer a server is held back, in milliseconds; undefined where it is not.
+	How much longer a server is held back, in milliseconds; undefined if it is not held back.
 	*/
 	heldBackMs(id: string, now: number): number | undefined;
 	/**
-	How many servers are held back.
+	Number of servers that are held back.
 	*/
 	heldBack(): number;
 	/**
-	Whether anything is known that the registry's copy says otherwise.
+	Whether this node knows anything about a server that contradicts the registry's copy.
 	*/
 	isAheadOfRegistry(): boolean;
 	/**
-	Ends what is limited in time.
+	Ends the grace periods and hold-backs whose time is over.
 	*/
 	expire(now: number): readonly MirrorChange[];
 	/**
-	A server announced its shutdown in an answer.
+	Records that a server announced its shutdown in an answer.
 	*/
-	recordShutdown(id: string, life: string): readonly MirrorChange[];
+	recordShutdown(id: string, incarnationId: string): readonly MirrorChange[];
 	/**
-	Another node knows that the life of this entry leaves.
+	Records that another node knows of the shutdown of this entry's incarnation.
 	*/
 	recordPeerShutdown(entry: RegisteredServer): readonly MirrorChange[];
 	known(): ReadonlyMap<string, KnownServer>;
 	/**
-	An entry as it is passed on to other nodes.
+	An entry as it is sent to other nodes.
 	*/
 	outgoing(entry: RegisteredServer, now: number): RegisteredServer;
 };
 
 /**
-How long a backend server stays in use when its entry went missing while the registry was away, in
-milliseconds. Its entry is back about two seconds after the registry is, if it lives.
+Grace period for which a backend server stays in use after its entry went missing while the registry was unavailable,
+in milliseconds. The entry of a live server is back about two seconds after the registry is.
 */
 export const lapseGraceMs = 2200;
 
 /**
-How long an entry is not used that was removed and that an older copy brought back, in milliseconds. The entry of a server that
-does not live ends sooner.
+How long a removed entry that an older copy brought back is held back, in milliseconds. The entry of a dead server lapses
+sooner.
 */
 export const heldBackMs = 5000;
 
 /**
-Lives of servers whose announced shutdown is remembered; the earliest is forgotten first. A life does not return from its
-shutdown, so nothing else ends the memory.
+Maximum number of server incarnations whose announced shutdown is remembered; the oldest is evicted first. An incarnation
+does not return from its shutdown, so nothing else removes it.
 */
 export const maximumLeavingIncarnations = 2000;
 
@@ -95,18 +96,18 @@
 type HeldBack = {readonly entry: RegisteredServer; readonly until: number};
 
 /**
-Builds a view of no servers.
+Creates a view without servers.
 */
 export const createRegistryServers = (): RegistryServers => {
 	const announced = createBoundedSet<string>(maximumLeavingIncarnations);
-	const gone = createBoundedMap<string, RegisteredServer>(
+	const removed = createBoundedMap<string, RegisteredServer>(
 		maximumRemovedIncarnations,
 	);
 	const known = new Map<string, KnownServer>();
 	const lapsed = new Map<string, number>();
 	const held = new Map<string, HeldBack>();
-	// Servers that leave though the copy says that they are ready.
-	const leavingBeyondCopy = new Set<string>();
+	// Servers that shut down although the registry's copy says that they are ready.
+	const leavingAheadOfCopy = new Set<string>();
 
 	const put = (
 		entry: RegisteredServer,
@@ -116,8 +117,8 @@
 			? {...entry, isLeaving: true}
 			: entry;
 		const before = known.get(server.id);
-		const isSameLife = before?.server.startedAt === server.startedAt;
-		const coldBefore = isSameLife ? (before?.coldUntil ?? 0) : 0;
+		const isSameIncarnation = before?.server.startedAt === server.startedAt;
+		const coldBefore = isSameIncarnation ? (before?.coldUntil ?? 0) : 0;
 		lapsed.delete(server.id);
 		held.delete(server.id);
 		known.set(server.id, {
@@ -130,12 +131,12 @@
 	const drop = (id: string): readonly MirrorChange[] => {
 		const current = known.get(id)?.server;
 		if (current) {
-			gone.set(incarnationIdOf(current), current);
+			removed.set(incarnationIdOf(current), current);
 		}
 
 		lapsed.delete(id);
 		held.delete(id);
-		leavingBeyondCopy.delete(id);
+		leavingAheadOfCopy.delete(id);
 		known.delete(id);
 		return [{kind: 'server', id, isUsable: false}];
 	};
@@ -154,15 +155,21 @@
 		return [];
 	};
 
-	const ofLife = (id: string, life: string): KnownServer | undefined => {
+	const currentIncarnation = (
+		id: string,
+		incarnationId: string,
+	): KnownServer | undefined => {
 		const current = known.get(id);
-		return current && incarnationIdOf(current.server) === life
+		return current && incarnationIdOf(current.server) === incarnationId
 			? current
 			: undefined;
 	};
 
-	const leave = (id: string, life: string): readonly MirrorChange[] => {
-		const current = ofLife(id, life);
+	const leave = (
+		id: string,
+		incarnationId: string,
+	): readonly MirrorChange[] => {
+		const current = currentIncarnation(id, incarnationId);
 		if (!current || current.server.isLeaving) {
 			return [];
 		}
@@ -176,7 +183,8 @@
 	};
 
 	const isKnownLeaving = (entry: RegisteredServer): boolean =>
-		ofLife(entry.id, incarnationIdOf(entry))?.server.isLeaving ?? false;
+		currentIncarnation(entry.id, incarnationIdOf(entry))?.server.isLeaving ??
+		false;
 
 	const holdBack = (
 		entry: RegisteredServer,
@@ -191,7 +199,7 @@
 		const until = Math.max(held.get(id)?.until ?? 0, now + remainingMs);
 		held.set(id, {entry, until});
 		lapsed.delete(id);
-		gone.set(incarnationIdOf(entry), entry);
+		removed.set(incarnationIdOf(entry), entry);
 		return known.delete(id) ? [{kind: 'server', id, isUsable: false}] : [];
 	};
 
@@ -208,7 +216,7 @@
 		entry: RegisteredServer,
 		now: number,
 	): readonly MirrorChange[] => {
-		leavingBeyondCopy.add(entry.id);
+		leavingAheadOfCopy.add(entry.id);
 		if (entry.startedAt !== undefined) {
 			announced.add(incarnationIdOf(entry));
 		}
@@ -218,25 +226,25 @@
 
 	return {
 		register(entry, now) {
-			leavingBeyondCopy.delete(entry.id);
+			leavingAheadOfCopy.delete(entry.id);
 			return put(entry, now);
 		},
 		remove,
-		registerFromCopy(entry, toldMs, now) {
+		registerFromCopy(entry, peerHoldMs, now) {
 			if (entry.isLeaving) {
 				return replace(entry, now);
 			}
 
-			const life = incarnationIdOf(entry);
-			const current = ofLife(entry.id, life)?.server;
-			const last = current ?? gone.get(life);
+			const incarnationId = incarnationIdOf(entry);
+			const current = currentIncarnation(entry.id, incarnationId)?.server;
+			const last = current ?? removed.get(incarnationId);
 			if (last?.isLeaving) {
 				return keepLeaving(entry, now);
 			}
 
 			const isBroughtBack =
 				!current && last !== undefined && !isWrittenSince(entry, last);
-			const holdMs = Math.max(toldMs, isBroughtBack ? heldBackMs : 0);
+			const holdMs = Math.max(peerHoldMs, isBroughtBack ? heldBackMs : 0);
 			return holdMs > 0 ? holdBack(entry, holdMs, now) : replace(entry, now);
 		},
 		holdBack,
@@ -245,7 +253,7 @@
 			return server && Math.max(0, server.until - now);
 		},
 		heldBack: () => held.size,
-		isAheadOfRegistry: () => held.size > 0 || leavingBeyondCopy.size > 0,
+		isAheadOfRegistry: () => held.size > 0 || leavingAheadOfCopy.size > 0,
 		expire: (now) => [
 			...[...lapsed]
 				.filter(([, until]) => until <= now)
@@ -255,20 +263,21 @@
 				.filter(({until}) => until <= now)
 				.flatMap(({entry}) => put(entry, now)),
 		],
-		recordShutdown(id, life) {
-			announced.add(life);
-			return leave(id, life);
+		recordShutdown(id, incarnationId) {
+			announced.add(incarnationId);
+			return leave(id, incarnationId);
 		},
 		recordPeerShutdown(entry) {
 			const changes = leave(entry.id, incarnationIdOf(entry));
 			if (changes.length > 0) {
-				leavingBeyondCopy.add(entry.id);
+				leavingAheadOfCopy.add(entry.id);
 			}
 
 			return changes;
 		},
 		known: () => known,
-		// The remaining cold time shrinks while the entry is kept. A node that has just started hears of announced shutdowns.
+		// The remaining cold time is recomputed, because it shrinks while this node stores the entry. The shutdown flag lets
+		// a node that has just started learn of announced shutdowns.
 		outgoing: (entry, now) => ({
 			...entry,
 			isLeaving:
@@ -280,7 +289,7 @@
 	};
 };
 
-// Without numbers nothing shows that an entry is later than its removal.
+// Without sequence numbers, nothing shows that an entry was written after its removal.
 const isWrittenSince = (
 	entry: RegisteredServer,
 	last: RegisteredServer,
--- a/src/registry/registry-stamp.ts
+++ b/src/registry/registry-stamp.ts
@@ -2,7 +2,7 @@
 import type {RegistryCursor} from './registry-position.ts';
 
 /**
-What a node tells others about its copy of the registry with every heartbeat.
+The state of a node's registry mirror, sent to other nodes with every heartbeat.
 */
 export type RegistryStamp = RegistryCursor & {
 	/**
@@ -10,16 +10,16 @@
 	*/
 	readonly routesVersion: number;
 	/**
-	Whether the node holds to statements that the registry lost when it came back from an older copy.
+	Whether the node holds state that the registry lost when it was restored from an older copy.
 	*/
 	readonly isAheadOfRegistry: boolean;
 };
 
 const digestPattern =
-	/^(?<era>\d{1,15})\.(?<routes>\d{1,15})\.(?<beyond>[01])$/v;
+	/^(?<era>\d{1,15})\.(?<routes>\d{1,15})\.(?<isAhead>[01])$/v;
 
 /**
-Encodes a stamp as heartbeats carry it. Nodes of versions without eras send and heed the version only.
+Encodes a stamp for a heartbeat. Nodes running a version without eras send and read only the version.
 */
 export const encodeRegistryStamp = (
 	stamp: RegistryStamp,
@@ -29,7 +29,7 @@
 });
 
 /**
-Decodes a stamp; one of another form states its revision only.
+Decodes a stamp. A stamp whose digest has another format yields only the revision.
 */
 export const decodeRegistryStamp = ({
 	version,
@@ -40,6 +40,6 @@
 		era: parts && Number(parts.era),
 		revision: version,
 		routesVersion: Number(parts?.routes ?? 0),
-		isAheadOfRegistry: parts?.beyond === '1',
+		isAheadOfRegistry: parts?.isAhead === '1',
 	};
 };
--- a/src/registry/restored-copy.ts
+++ b/src/registry/restored-copy.ts
@@ -1,11 +1,11 @@
 /**
-Takes the older copy that the registry came back from. What it says is the new base, but nothing safe goes back:
+Applies the older copy from which the registry was restored. The copy becomes the new base, but no safety-relevant state is undone:
 
-- Routes: the highest version stays in force. Whether routes are missing is open until they are written again.
-- Shutdowns: a life that leaves does so whatever the copy says.
-- A server that the copy lacks stays in use for the grace of a lapsed entry.
-- A server that the copy brings back after its entry was removed is held back until it is written again or has lasted.
-- An evacuation that the copy lacks is kept for a time; one that it brings back holds until it is removed.
+- Routes: the highest version stays in force. Routes may be missing until they are written again.
+- Shutdowns: an incarnation that shuts down stays that way, whatever the copy says.
+- A server that the copy lacks stays in use for the grace period of a lapsed entry.
+- A server that the copy brings back after its entry was removed is held back until it is written again or the hold-back time is over.
+- An evacuation that the copy lacks is retained for a limited time; one that the copy brings back is in force until it is removed.
 */
 import type {MirrorChange} from './mirror-change.ts';
 import {isSuperseded, type MirrorState} from './mirror-state.ts';
@@ -14,18 +14,18 @@
 import type {RegistryItem, RegistrySnapshot} from './registry-entry.ts';
 
 /**
-What became of the entries of a copy.
+The result of applying a restored copy.
 */
 export type RestoreResult = {
 	readonly changes: readonly MirrorChange[];
 	/**
-	Entries known before that the copy lacks.
+	Number of entries that this node knew and the copy lacks.
 	*/
 	readonly lacking: number;
 };
 
 /**
-Replaces all entries by those of a copy.
+Replaces all entries by those of a restored copy.
 */
 export const applyRestoredCopy = (
 	state: MirrorState,
@@ -44,15 +44,15 @@
 	return {
 		changes: [
 			...copy.items.flatMap((item) =>
-				takeCopied(state, item, before.get(item.key), now),
+				applyCopiedItem(state, item, before.get(item.key), now),
 			),
-			...missing.flatMap((row) => keepMissing(state, row, now)),
+			...missing.flatMap((row) => retainMissing(state, row, now)),
 		],
 		lacking: missing.length,
 	};
 };
 
-const takeCopied = (
+const applyCopiedItem = (
 	state: MirrorState,
 	item: RegistryItem,
 	before: RegistryItem | undefined,
@@ -64,7 +64,7 @@
 		return applyProvisional(state, item, provisionalMs, now);
 	}
 
-	// Any later statement counts, whatever its revision.
+	// Revision 0 lets any later write replace this row.
 	if (before && isSuperseded(item, before)) {
 		rows.set(key, {...before, revision: 0});
 		return before.value?.kind === 'server'
@@ -98,7 +98,7 @@
 	}
 };
 
-const keepMissing = (
+const retainMissing = (
 	{servers, evacuations}: MirrorState,
 	{key, value}: RegistryItem,
 	now: number,
--- a/src/registry/server-incarnation.ts
+++ b/src/registry/server-incarnation.ts
@@ -1,7 +1,7 @@
 import type {RegisteredServer} from './registry-entry.ts';
 
 /**
-Names one life of a backend server, from its start to its end; a server that starts again may keep its id.
+Identifies one incarnation of a backend server, from its start to its end. A restarted server may keep its id.
 */
 export const incarnationIdOf = ({
 	id,
--- a/src/registry/stale-items.ts
+++ b/src/registry/stale-items.ts
@@ -1,13 +1,13 @@
 /**
-What counts of statements that are older than what is known, or that the registry has lost.
+Applies what still counts of items that are older than the known state, or that the registry has lost.
 */
 import type {MirrorChange} from './mirror-change.ts';
 import type {MirrorState} from './mirror-state.ts';
 import type {RegistryItem} from './registry-entry.ts';
 
 /**
-Takes what never goes back: later versions of the routes, and the shutdown of a server. The latter only while its entry is the one
-that the shutdown belongs to, or has not been written since the registry came back from an older copy.
+Applies state that never goes backward: later versions of the routes, and the shutdown of a server. A shutdown applies only if it
+belongs to the server's current entry, or if that entry was not written since the registry was restored from an older copy.
 */
 export const applyMonotonic = (
 	{rows, routes, servers, copyRevision}: MirrorState,
@@ -38,7 +38,7 @@
 };
 
 /**
-Takes what another node keeps or holds back beyond the registry, unless it has been written again.
+Applies an evacuation that another node retains, or a server that it holds back, unless the key was written again since the restore.
 */
 export const applyProvisional = (
 	{rows, servers, evacuations, copyRevision}: MirrorState,
--- a/tests/registry/fixtures.ts
+++ b/tests/registry/fixtures.ts
@@ -1,7 +1,7 @@
 import type {RegisteredServer, RegistryItem} from '../../src/registry/index.ts';
 
 /**
-A server as its entry names it.
+Creates a registered server with default values.
 */
 export const registeredServerOf = (
 	id: string,
@@ -18,7 +18,7 @@
 });
 
 /**
-The entry of a server at a revision.
+Creates the registry item of a server at a revision.
 */
 export const serverItemOf = (
 	id: string,
--- a/tests/registry/http-source.test.ts
+++ b/tests/registry/http-source.test.ts
@@ -8,7 +8,7 @@
 import {registeredServerOf} from './fixtures.ts';
 
 for (const hasEras of [true, false]) {
-	test(`a registry ${hasEras ? 'with' : 'without'} eras is read over HTTP before and after it came back from a copy`, async (t: TestContext) => {
+	test(`a registry ${hasEras ? 'with' : 'without'} eras is read over HTTP before and after a restore from a copy`, async (t: TestContext) => {
 		const registry = createStandInRegistry({hasEras});
 		const address = await freeAddress();
 		const server = await startRegistryServer(registry, address);
--- a/tests/registry/registry-follower.test.ts
+++ b/tests/registry/registry-follower.test.ts
@@ -7,24 +7,24 @@
 	registryPollPauseMs,
 } from '../../src/registry/index.ts';
 
-// Entries follow each other so fast that each question is answered at once.
-const questionsIn = async (
+// The entries change so often that the registry answers each request at once.
+const requestsIn = async (
 	{mock}: TestContext,
 	spanMs: number,
 	hasJustStarted: boolean,
 ): Promise<number> => {
 	mock.timers.enable({apis: ['setTimeout']});
 	let now = 0;
-	let questions = 0;
+	let requests = 0;
 	const follower = createRegistryFollower({
 		mirror: createRegistryMirror(),
 		registry: {
 			async snapshot() {
-				questions += 1;
+				requests += 1;
 				return {kind: 'snapshot', revision: 1, items: []};
 			},
 			async changes(after) {
-				questions += 1;
+				requests += 1;
 				return {kind: 'changes', revision: after + 1, items: []};
 			},
 			close: async () => undefined,
@@ -51,14 +51,14 @@
 
 	await follower.stop();
 	mock.timers.reset();
-	return questions;
+	return requests;
 };
 
-test('a node that has just started asks seldom while servers enter themselves', async (t: TestContext) => {
+test('a node that has just started pauses longer between requests while servers register', async (t: TestContext) => {
 	const spanMs = 2 * startupPauseMs + 400;
-	t.assert.strictEqual(await questionsIn(t, spanMs, true), 3);
+	t.assert.strictEqual(await requestsIn(t, spanMs, true), 3);
 	t.assert.strictEqual(
-		await questionsIn(t, spanMs, false),
+		await requestsIn(t, spanMs, false),
 		Math.ceil(spanMs / registryPollPauseMs),
 	);
 });
--- a/tests/registry/registry-mirror.test.ts
+++ b/tests/registry/registry-mirror.test.ts
@@ -22,7 +22,7 @@
 const snapshotOf = (revision: number, ...items: readonly RegistryItem[]) =>
 	({kind: 'snapshot', revision, items}) as const;
 
-test('a version of the routes never goes back, whatever comes late, twice or out of order', () => {
+test('the version of the routes never decreases when updates are late, duplicated or out of order', () => {
 	const order = fc.array(
 		fc.record({
 			revision: fc.integer({min: 1, max: 50}),
@@ -52,7 +52,7 @@
 	);
 });
 
-test('an older statement about a key changes nothing, also after its removal', () => {
+test('an older item of a key changes nothing, also after the removal of the key', () => {
 	const mirror = createRegistryMirror();
 	mirror.apply(changesOf(5, serverItemOf('s', 5)), 0, 'registry');
 	mirror.apply(changesOf(7, item('servers/s', 7)), 0, 'registry');
@@ -60,7 +60,7 @@
 	assert.equal(mirror.servers().size, 0);
 });
 
-test('an older snapshot is ignored, and a newer one removes what it does not name', () => {
+test('an older snapshot is ignored, and a newer one removes the keys that it does not contain', () => {
 	const mirror = createRegistryMirror();
 	mirror.apply(
 		changesOf(9, serverItemOf('a', 8), serverItemOf('b', 9)),
@@ -73,7 +73,7 @@
 	assert.deepEqual([...mirror.servers().keys()], ['b']);
 });
 
-test('an entry that went missing while the registry was away is kept for its grace only', () => {
+test('an entry that went missing while the registry was unavailable is kept for the grace period only', () => {
 	const mirror = createRegistryMirror();
 	mirror.apply(changesOf(1, serverItemOf('s', 1)), 0, 'registry');
 	mirror.sourceFailed(1000);
@@ -84,7 +84,7 @@
 	assert.equal(mirror.servers().size, 0);
 });
 
-test('an entry that is back within its grace stays', () => {
+test('an entry that is back within the grace period stays', () => {
 	const mirror = createRegistryMirror();
 	mirror.apply(changesOf(1, serverItemOf('s', 1)), 0, 'registry');
 	mirror.sourceFailed(1000);
@@ -94,7 +94,7 @@
 	assert.equal(mirror.servers().size, 1);
 });
 
-test('a removal while the registry answers is taken at once, also by a node that it turns away', () => {
+test('a removal while the registry answers applies at once, also on a node whose own requests fail', () => {
 	const reader = createRegistryMirror();
 	reader.apply(changesOf(1, serverItemOf('s', 1)), 0, 'registry');
 	reader.apply(changesOf(2, item('servers/s', 2)), 5000, 'registry');
@@ -107,7 +107,7 @@
 	assert.equal(turnedAway.servers().size, 0);
 });
 
-test('a leaving server that goes missing is gone, lapse or not', () => {
+test('a leaving server whose entry goes missing is removed without a grace period', () => {
 	const mirror = createRegistryMirror();
 	mirror.apply(
 		changesOf(1, serverItemOf('s', 1, {isLeaving: true})),
@@ -119,7 +119,7 @@
 	assert.equal(mirror.servers().size, 0);
 });
 
-test('an evacuation holds until it is taken away', () => {
+test('an evacuation is in force until its key is removed', () => {
 	const mirror = createRegistryMirror();
 	const value = {kind: 'evacuation', availabilityZone: 'zone-a'} as const;
 	mirror.apply(
@@ -132,7 +132,7 @@
 	assert.ok(!mirror.isEvacuated('zone-a'));
 });
 
-test('the remaining cold time shrinks on its way through other nodes', () => {
+test('the remaining cold time shrinks while other nodes relay the entry', () => {
 	const mirror = createRegistryMirror();
 	mirror.apply(
 		changesOf(1, serverItemOf('s', 1, {coldMs: 3000})),
@@ -145,7 +145,7 @@
 	assert.equal(kept.value.server.coldMs, 2000);
 });
 
-test('nodes that pass changes on to each other in any way end with the same copy', () => {
+test('nodes that exchange changes in any order end with the same mirror', () => {
 	const step = fc.record({
 		id: fc.constantFrom('a', 'b', 'c'),
 		isRemoval: fc.boolean(),
@@ -182,9 +182,9 @@
 	);
 });
 
-test('a node that follows by changes ends where a node ends that read everything', () => {
-	// Each step writes or removes one of a few servers; then some steps are read as changes, the
-	// others are missed and made up for by a snapshot.
+test('a node that applies changes ends with the same servers as a node that reads snapshots', () => {
+	// Each step writes or removes one of a few servers. The reader reads some steps as changes; it misses the others and
+	// catches up by a snapshot.
 	const steps = fc.array(
 		fc.record({
 			id: fc.constantFrom('a', 'b', 'c', 'd'),
@@ -238,7 +238,7 @@
 
 const unreadable = {kind: 'unreadable'} as const;
 
-test('an entry that cannot be read names no server to use, and the others hold', () => {
+test('an unreadable entry removes its server only', () => {
 	const mirror = createRegistryMirror();
 	mirror.sourceFailed(0);
 	mirror.apply(
@@ -257,7 +257,7 @@
 	assert.deepEqual([...mirror.servers().keys()].toSorted(), ['a', 'b']);
 });
 
-test('routes that cannot be read leave the last ones in force, also for nodes that ask later', () => {
+test('unreadable routes leave the last readable ones in force, also for nodes that ask later', () => {
 	const mirror = createRegistryMirror();
 	const document = documentOf({version: 3});
 	mirror.apply(
@@ -272,7 +272,7 @@
 	assert.equal(newcomer.routes()?.document.version, 3);
 });
 
-test('a server that starts again under its id is cold as its new entry says', () => {
+test('a server that restarts under its id is cold for the time that its new entry states', () => {
 	const mirror = createRegistryMirror();
 	const coldUntil = () => mirror.servers().get('a')?.coldUntil;
 	mirror.apply(
@@ -286,7 +286,7 @@
 		'registry',
 	);
 	assert.equal(coldUntil(), 1500);
-	// The earlier life's last entry arrives late.
+	// The last entry of the earlier incarnation arrives late.
 	mirror.apply(
 		changesOf(3, serverItemOf('a', 3, {startedAt: 100, isLeaving: true})),
 		1100,
@@ -296,7 +296,7 @@
 	assert.equal(mirror.servers().get('a')?.server.startedAt, 200);
 });
 
-test('an announced shutdown outlasts every entry of its life, and ends with the next life', () => {
+test('an announced shutdown overrides every entry of its incarnation, and ends with the next incarnation', () => {
 	const step = fc.oneof(
 		fc.constant('entry'),
 		fc.constant('removal'),
@@ -371,7 +371,7 @@
 	);
 });
 
-test('a node that asks another one hears of an announced shutdown', () => {
+test('a node learns of an announced shutdown from the snapshot of another node', () => {
 	const first = createRegistryMirror();
 	first.apply(
 		changesOf(1, serverItemOf('a', 1, {startedAt: 1})),
--- a/tests/registry/registry-relay.test.ts
+++ b/tests/registry/registry-relay.test.ts
@@ -27,7 +27,7 @@
 	},
 });
 
-// One node that may read the registry, and one that follows it; time is made to pass by hand.
+// One node that reads the registry, and one that follows it through the relay of the first, in simulated time.
 const setUp = ({mock}: TestContext) => {
 	mock.timers.enable({apis: ['setTimeout']});
 	let now = 0;
@@ -123,7 +123,7 @@
 		announceChanges: () => undefined,
 	});
 
-	// Steps of ten milliseconds, with what follows from each.
+	// Advances the time in steps of 10 ms and runs the microtasks of each step.
 	const pass = async (milliseconds: number) => {
 		for (let passed = 0; passed < milliseconds; passed += 10) {
 			now += 10;
@@ -163,7 +163,7 @@
 	};
 };
 
-test('a node behind a relay has changes at once and does not call the registry', async (t: TestContext) => {
+test('a node behind a relay receives changes at once and does not call the registry', async (t: TestContext) => {
 	const world = setUp(t);
 	await world.start();
 	await world.pass(5000);
@@ -176,12 +176,12 @@
 	await world.stop();
 });
 
-test('a node whose relay falls silent has a change within three seconds', async (t: TestContext) => {
+test('a node whose relay stops answering receives a change within three seconds', async (t: TestContext) => {
 	const world = setUp(t);
 	await world.start();
 	await world.pass(5000);
 	world.setRelayUp(false);
-	// The question under way is answered once more; the next one is not.
+	// The relay still answers the request in flight, but not the next one.
 	await world.pass(2000);
 	world.change();
 	await world.pass(2900);
@@ -189,7 +189,7 @@
 	await world.stop();
 });
 
-test('a node whose relay loses the registry reads it itself within three seconds', async (t: TestContext) => {
+test('a node whose relay cannot reach the registry reads the registry itself within three seconds', async (t: TestContext) => {
 	const world = setUp(t);
 	await world.start();
 	await world.pass(5000);
@@ -201,7 +201,7 @@
 	await world.stop();
 });
 
-test('two nodes that each take the other for the reader do not wait for each other', async (t: TestContext) => {
+test('two nodes that each consider the other to be the reader do not wait for each other', async (t: TestContext) => {
 	const mirror = createRegistryMirror();
 	mirror.apply(
 		{kind: 'snapshot', revision: 1, items: [leavingServer(1)]},
@@ -233,17 +233,17 @@
 	});
 };
 
-test('a relay answers a node of an earlier era with everything, at once', async (t: TestContext) => {
+test('a relay answers a node of an earlier era at once, with a snapshot', async (t: TestContext) => {
 	const {answer} = await relayAt(2).answer({era: 1, revision: 90});
 	t.assert.strictEqual(answer.kind, 'snapshot');
 });
 
-test('a relay that does not know of a later era does not help a node that does', async (t: TestContext) => {
+test('a relay does not serve a node that knows a later era', async (t: TestContext) => {
 	const {answer} = await relayAt(1).answer({era: 2, revision: 5});
 	t.assert.strictEqual(answer.kind, 'unavailable');
 });
 
-test('a relay answers a node that states no era by its revision', async (t: TestContext) => {
+test('a relay answers a node that states no era according to its revision', async (t: TestContext) => {
 	const relay = relayAt(2);
 	const {answer} = await relay.answer({era: undefined, revision: 5});
 	t.assert.strictEqual(answer.kind, 'snapshot');
--- a/tests/registry/registry-simulation.ts
+++ b/tests/registry/registry-simulation.ts
@@ -1,5 +1,5 @@
 /**
-Nodes that follow one registry and each other in simulated time.
+Simulates nodes that follow one registry and each other, in simulated time.
 */
 import type {TestContext} from 'node:test';
 import {createLogger} from '../../src/logging/index.ts';
@@ -24,12 +24,12 @@
 } from '../../stand-ins/registry.ts';
 
 /**
-A node of the scene.
+A simulated node.
 */
 export type SimulatedNode = {
 	readonly mirror: RegistryMirror;
 	/**
-	What it does not reach, or whether it stands still.
+	Whether the node cannot reach the registry or other nodes, or is frozen.
 	*/
 	isCutFromRegistry: boolean;
 	isCutFromNodes: boolean;
@@ -37,27 +37,27 @@
 };
 
 /**
-Nodes of several zones by turns, the first of a zone being the one that reads the registry for it.
+Nodes assigned to several zones in round-robin order. The first node of a zone reads the registry for the zone.
 */
 export type RegistrySimulation = {
 	readonly registry: StandInRegistry;
 	readonly nodes: readonly SimulatedNode[];
 	now(): number;
 	/**
-	Lets time pass.
+	Advances the simulated time.
 
 	@param onStep Called after each step.
 	*/
 	advance(milliseconds: number, onStep?: () => void): Promise<void>;
 	/**
-	Replaces a node by one that knows nothing.
+	Replaces a node by one with an empty mirror.
 	*/
 	restart(index: number): void;
 	stop(): Promise<void>;
 };
 
 /**
-What a scene is built from.
+The size and the conditions of a simulation.
 */
 export type RegistrySimulationOptions = {
 	readonly zones: number;
@@ -65,11 +65,11 @@
 	readonly hasEras: boolean;
 	readonly seed?: number;
 	/**
-	Of these nodes stamps and answers are those of the version before, which knows no eras.
+	Nodes that run the previous version: their stamps and answers have no eras.
 	*/
 	readonly oldNodes?: readonly number[];
 	/**
-	Builds the copy of the registry of each node.
+	Creates the registry mirror of each node.
 	*/
 	readonly createMirror?: () => RegistryMirror;
 };
@@ -84,7 +84,7 @@
 const stampIntervalMs = 400;
 const peerTimeoutMs = 700;
 const settledMs = 2500;
-// Turns of the event loop in which questions and answers pass within one step.
+// Microtask turns per step, so that requests and answers complete within the step.
 const turnsPerStep = 12;
 
 const withoutEra = (answer: RegistryAnswer): RegistryAnswer => {
@@ -97,7 +97,7 @@
 };
 
 /**
-Starts the nodes; time stands still until it is made to pass.
+Starts the nodes. The simulated time does not advance on its own.
 */
 export const createRegistrySimulation = (
 	{mock}: Pick<TestContext, 'mock'>,
@@ -113,15 +113,15 @@
 	mock.timers.enable({apis: ['setTimeout']});
 	const random = createRandom(seed);
 	const registry = createStandInRegistry({hasEras});
-	const logger = createLogger('scene');
+	const logger = createLogger('simulation');
 	let now = 0;
 	const wait = async (milliseconds: number) =>
 		new Promise<void>((resolve) => {
 			setTimeout(resolve, milliseconds);
 		});
 
-	// A node that stands still goes on with nothing until it is thawed.
-	const untilThawed = async (node: SimulatedNode) => {
+	// Blocks the calls of a frozen node until it is unfrozen.
+	const untilUnfrozen = async (node: SimulatedNode) => {
 		while (node.isFrozen) {
 			await wait(stepMs);
 		}
@@ -134,7 +134,7 @@
 		): Promise<RegistryAnswer> => {
 			const cut: RegistryAnswer = {kind: 'unavailable', reason: 'cut'};
 			const answer = node().isCutFromRegistry ? cut : await ask();
-			await untilThawed(node());
+			await untilUnfrozen(node());
 			return node().isCutFromRegistry ? cut : answer;
 		};
 
@@ -161,12 +161,12 @@
 		const index = indexOf(to);
 		if (!isReachable(index) || nodes[from]!.isCutFromNodes) {
 			await wait(peerTimeoutMs);
-			await untilThawed(nodes[from]!);
+			await untilUnfrozen(nodes[from]!);
 			return failed;
 		}
 
 		const answer = await ask(nodes[index]!, index);
-		await untilThawed(nodes[from]!);
+		await untilUnfrozen(nodes[from]!);
 		return isReachable(index) ? answer : failed;
 	};
 
@@ -181,7 +181,7 @@
 			: addressOf(first);
 	};
 
-	const heldBy = (index: number, after: RegistryCursor): RegistryCursor =>
+	const cursorFor = (index: number, after: RegistryCursor): RegistryCursor =>
 		oldNodes.includes(index) ? {...after, era: undefined} : after;
 
 	const startNode = (index: number): RunningNode => {
@@ -199,7 +199,7 @@
 						const answer: RegistryAnswer =
 							other.mirror.revision() === 0
 								? {kind: 'unavailable', reason: 'nothing known yet'}
-								: other.mirror.answerFor(heldBy(each, after), now);
+								: other.mirror.answerFor(cursorFor(each, after), now);
 						return oldNodes.includes(each) ? withoutEra(answer) : answer;
 					},
 				),
@@ -211,7 +211,7 @@
 					address,
 					undefined,
 					async (other, each) => {
-						const relayed = await other.relay.answer(heldBy(each, after));
+						const relayed = await other.relay.answer(cursorFor(each, after));
 						return oldNodes.includes(each)
 							? {...relayed, answer: withoutEra(relayed.answer)}
 							: relayed;
--- a/tests/registry/restored-copy.test.ts
+++ b/tests/registry/restored-copy.test.ts
@@ -40,7 +40,7 @@
 	now = 0,
 ) => mirror.apply({kind, era, revision, items}, now, 'registry');
 
-// A node that has read these changes in the first era.
+// A mirror that has read these changes in the first era.
 const nodeWith = (...items: readonly RegistryItem[]): RegistryMirror => {
 	const mirror = createRegistryMirror();
 	take(mirror, 'snapshot', [1, 1], []);
@@ -53,7 +53,7 @@
 
 const versionOf = (mirror: RegistryMirror) => mirror.routes()?.document.version;
 
-test('routes do not go back with the registry, and later ones count at revisions that were given out before', () => {
+test('routes do not go back when the registry is restored, and later ones apply at reused revisions', () => {
 	const mirror = nodeWith(routesItem(50, 7));
 	take(mirror, 'snapshot', [2, 20], [routesItem(10, 3)]);
 	assert.equal(versionOf(mirror), 7);
@@ -61,7 +61,7 @@
 	assert.equal(versionOf(mirror), 8);
 });
 
-test('routes that the registry lost stay in force and are told to other nodes', () => {
+test('routes that the registry lost stay in force and are sent to other nodes', () => {
 	const mirror = nodeWith(routesItem(50, 7));
 	take(mirror, 'snapshot', [2, 0], []);
 	assert.equal(versionOf(mirror), 7);
@@ -70,7 +70,7 @@
 	assert.equal(versionOf(newcomer), 7);
 });
 
-test('routes are not taken as complete until they are written again, for a time', () => {
+test('after a restore, routes count as incomplete for a limited time or until they are written again', () => {
 	const mirror = nodeWith(routesItem(50, 7));
 	assert.ok(!mirror.mayLackRoutes(0));
 	take(mirror, 'snapshot', [2, 20], [routesItem(10, 3)], 1000);
@@ -84,7 +84,7 @@
 	const entry = startedAt === undefined ? {} : {startedAt};
 	const name = startedAt === undefined ? 'without a start' : 'with a start';
 
-	test(`a server ${name} that leaves does so though the copy says that it is ready`, () => {
+	test(`a server ${name} that is leaving stays that way although the copy says that it is ready`, () => {
 		const mirror = nodeWith(serverItemOf('s', 50, {...entry, isLeaving: true}));
 		take(mirror, 'snapshot', [2, 20], [serverItemOf('s', 10, entry)]);
 		assert.ok(!isUsed(mirror, 's'));
@@ -93,7 +93,7 @@
 		assert.ok(!isUsed(newcomer, 's'));
 	});
 
-	test(`a server ${name} that left is not used though the copy says that it is ready`, () => {
+	test(`a server ${name} that has left is not used although the copy says that it is ready`, () => {
 		const item = serverItemOf('s', 50, {...entry, isLeaving: true});
 		const mirror = nodeWith(item, removalOf(item, 60));
 		take(mirror, 'snapshot', [2, 20], [serverItemOf('s', 10, entry)]);
@@ -103,7 +103,7 @@
 	});
 }
 
-test('a later life of a server that the copy does not know of is not replaced by the earlier one', () => {
+test('a later incarnation of a server that the copy lacks is not replaced by the earlier one', () => {
 	const mirror = nodeWith(serverItemOf('s', 50, {startedAt: 9}));
 	take(mirror, 'snapshot', [2, 20], [serverItemOf('s', 10, {startedAt: 5})]);
 	assert.equal(mirror.servers().get('s')?.server.startedAt, 9);
@@ -112,7 +112,7 @@
 	assert.ok(isUsed(mirror, 's'));
 });
 
-test('a server that the copy lacks is used for its grace, and on if it is written again', () => {
+test('a server that the copy lacks is used for the grace period, and beyond it if it is written again', () => {
 	const mirror = nodeWith(serverItemOf('a', 50), serverItemOf('b', 51));
 	take(mirror, 'snapshot', [2, 20], []);
 	assert.ok(isUsed(mirror, 'a'));
@@ -124,7 +124,7 @@
 	assert.ok(isUsed(mirror, 'b'));
 });
 
-test('a server that the copy brings back is not used until it is written again or has lasted', () => {
+test('a removed server that the copy brings back is held back until it is written again or the hold-back time is over', () => {
 	const items = [serverItemOf('a', 50), serverItemOf('b', 51)];
 	const mirror = nodeWith(
 		...items,
@@ -145,7 +145,7 @@
 	assert.ok(isUsed(mirror, 'a'));
 });
 
-test('a server that the copy brings back and whose entry ends is never used', () => {
+test('a removed server that the copy brings back and whose entry is removed is never used', () => {
 	const item = serverItemOf('a', 50);
 	const mirror = nodeWith(item, removalOf(item, 60));
 	take(mirror, 'snapshot', [2, 20], [serverItemOf('a', 9)]);
@@ -154,7 +154,7 @@
 	assert.ok(!isUsed(mirror, 'a'));
 });
 
-test('an evacuation that the copy lacks holds for a time, and on if it is written again', () => {
+test('an evacuation that the copy lacks is retained for a limited time, and beyond it if it is written again', () => {
 	for (const isWritten of [false, true]) {
 		const mirror = nodeWith(evacuationItem(50));
 		take(mirror, 'snapshot', [2, 20], []);
@@ -170,14 +170,14 @@
 	}
 });
 
-test('an evacuation that the copy lacks ends when the operator takes it back', () => {
+test('an evacuation that the copy lacks ends when the operator removes it', () => {
 	const mirror = nodeWith(evacuationItem(50));
 	take(mirror, 'snapshot', [2, 20], []);
 	take(mirror, 'changes', [2, 21], [removalOf(evacuationItem(0), 21)]);
 	assert.ok(!mirror.isEvacuated(zone));
 });
 
-test('an evacuation that the copy brings back holds until it is taken back again', () => {
+test('an evacuation that the copy brings back is in force until it is removed again', () => {
 	const item = evacuationItem(50);
 	const mirror = nodeWith(item, removalOf(item, 60));
 	take(mirror, 'snapshot', [2, 20], [evacuationItem(10)]);
@@ -188,7 +188,7 @@
 	assert.ok(!mirror.isEvacuated(zone));
 });
 
-test('nothing safe goes back with a second return from a copy', () => {
+test('a second restore undoes no routes, shutdown or evacuation', () => {
 	const mirror = nodeWith(
 		routesItem(50, 7),
 		serverItemOf('s', 51, {isLeaving: true}),
@@ -203,9 +203,9 @@
 	assert.equal(versionOf(mirror), 8);
 });
 
-// Nodes of versions without eras state none.
+// Nodes running a version without eras state none.
 for (const era of [1, undefined]) {
-	test(`of a node with ${era === undefined ? 'no' : 'an earlier'} era only later routes and shutdowns count`, () => {
+	test(`only later routes and shutdowns apply from a node with ${era === undefined ? 'no' : 'an earlier'} era`, () => {
 		const mirror = nodeWith(serverItemOf('s', 50), routesItem(51, 7));
 		take(
 			mirror,
@@ -241,7 +241,7 @@
 	});
 }
 
-test('a node that started after the return hears what another one holds to', () => {
+test('a node that started after the restore learns the state that another node retains', () => {
 	const removed = serverItemOf('removed', 53);
 	const mirror = nodeWith(
 		routesItem(50, 7),
@@ -271,7 +271,7 @@
 	assert.ok(!newcomer.isEvacuated(zone));
 });
 
-test('a node that missed the return is given everything by one that has not', () => {
+test('a node that missed the restore receives a snapshot from one that did not', () => {
 	const mirror = nodeWith(routesItem(50, 7));
 	take(mirror, 'snapshot', [2, 20], [routesItem(10, 3)]);
 	take(mirror, 'changes', [2, 21], [serverItemOf('s', 21)]);
@@ -279,16 +279,16 @@
 	assert.equal(mirror.answerFor({era: 2, revision: 20}, 0).kind, 'changes');
 });
 
-test('an evacuation that ended after the return ends also where another node still keeps it', () => {
-	const keeper = nodeWith(evacuationItem(50));
-	take(keeper, 'snapshot', [2, 30], []);
+test('an evacuation that ended after the restore stays ended although another node still retains it', () => {
+	const retaining = nodeWith(evacuationItem(50));
+	take(retaining, 'snapshot', [2, 30], []);
 	const mirror = createRegistryMirror();
 	take(mirror, 'snapshot', [2, 20], [evacuationItem(15)]);
-	mirror.apply({kind: 'snapshot', ...keeper.snapshot(0)}, 0, 'peer');
+	mirror.apply({kind: 'snapshot', ...retaining.snapshot(0)}, 0, 'peer');
 	assert.ok(!mirror.isEvacuated(zone));
 });
 
-test('a server that another node holds back is held back after a second return as well', () => {
+test('a server that another node holds back is held back after a second restore as well', () => {
 	const copy = [serverItemOf('s', 10)];
 	const mirror = createRegistryMirror();
 	take(mirror, 'snapshot', [2, 20], copy);
@@ -310,7 +310,7 @@
 	assert.ok(isUsed(mirror, 's'));
 });
 
-test('keys taken away and limits lowered do not come back with the copy', () => {
+test('revoked keys and higher limits do not come back with the copy', () => {
 	const limitOf = (perSecond: number) =>
 		({unit: 'requests', perSecond, burst: 0, plainTokens: 0}) as const;
 	const documentWith = (version: number, perSecond: number, key: string) =>
@@ -333,7 +333,7 @@
 	assert.equal(clients?.byKey('new')?.limit?.perSecond, 5);
 });
 
-test('a revision that is given out again counts for another key', () => {
+test('a reused revision applies to another key', () => {
 	const mirror = nodeWith(serverItemOf('a', 21), routesItem(22, 7));
 	take(mirror, 'snapshot', [2, 20], []);
 	take(
--- a/tests/registry/restored-registry-model.test.ts
+++ b/tests/registry/restored-registry-model.test.ts
@@ -4,12 +4,12 @@
 
 const lengthMs = 25_000;
 
-// The later ones once showed a fault.
+// The seeds from 15 on have exposed faults.
 const seeds = [1, 2, 3, 4, 5, 6, 15, 34, 136, 220, 268, 293];
 
 for (const hasEras of [true, false]) {
 	for (const seed of seeds) {
-		test(`nothing safe goes back when a registry ${hasEras ? 'with' : 'without'} eras comes back from copies at random, seed ${seed}`, async (t: TestContext) => {
+		test(`random restores of a registry ${hasEras ? 'with' : 'without'} eras undo no routes, shutdown or evacuation, seed ${seed}`, async (t: TestContext) => {
 			t.assert.deepStrictEqual(
 				await runRestoreModel(t, {seed, hasEras, lengthMs}),
 				[],
@@ -24,7 +24,7 @@
 			mirror.expire(Infinity);
 		}
 	},
-	'a node that takes the copy for later than all it knows'({
+	'a node that considers an empty copy later than all it knows'({
 		nodes,
 		registry,
 	}: RegistrySimulation) {
@@ -44,7 +44,7 @@
 } as const;
 
 for (const [name, injectFault] of Object.entries(faults)) {
-	test(`the check of the model finds ${name}`, async (t: TestContext) => {
+	test(`the checker of the model detects ${name}`, async (t: TestContext) => {
 		t.assert.notDeepStrictEqual(
 			await runRestoreModel(t, {
 				seed: 1,
--- a/tests/registry/restored-registry-model.ts
+++ b/tests/registry/restored-registry-model.ts
@@ -1,5 +1,6 @@
 /**
-A registry that comes back from older copies of itself, what is written to it, and what its nodes must not forget.
+Model-based test of registry restores: random writes, restores from older copies and faults, and a checker of the state
+that the nodes must not lose.
 */
 import type {TestContext} from 'node:test';
 import {evacuationRetentionMs} from '../../src/registry/index.ts';
@@ -13,23 +14,23 @@
 } from './registry-simulation.ts';
 
 /**
-What a play is made from.
+The parameters of a run.
 */
 export type ModelOptions = {
 	readonly seed: number;
 	readonly hasEras: boolean;
 	readonly lengthMs: number;
 	/**
-	Called at each step; may do what the check must find.
+	Called at each step; may inject a fault that the checker must detect.
 	*/
-	readonly injectFault?: (scene: RegistrySimulation) => void;
+	readonly injectFault?: (simulation: RegistrySimulation) => void;
 	readonly createMirror?: RegistrySimulationOptions['createMirror'];
 };
 
 /**
-What the operator and the servers want to be in the registry.
+The state that the operator and the servers want the registry to hold.
 */
-type Truth = {
+type DesiredState = {
 	version: number;
 	readonly servers: Map<string, {isLeaving: boolean; sequence: number}>;
 	/**
@@ -38,18 +39,18 @@
 	readonly evacuated: Map<string, number>;
 };
 
-type Obligation = {
+type Expectation = {
 	readonly at: number;
 	readonly name: string;
-	readonly meets: (node: RegistrySimulation['nodes'][number]) => boolean;
+	readonly check: (node: RegistrySimulation['nodes'][number]) => boolean;
 	/**
-	Time after a return from a copy in which it does not bind, in milliseconds.
+	Time after a restore in which the expectation does not apply, in milliseconds.
 	*/
-	readonly excusedMs: number;
+	readonly exemptMs: number;
 };
 
 /**
-A change binds all nodes this long after the registry has it, in milliseconds.
+Time within which all nodes must apply a change of the registry, in milliseconds.
 */
 export const applyMs = 3000;
 
@@ -58,9 +59,9 @@
 const lapseMs = 3600;
 
 /**
-Plays random writes, returns and disturbances.
+Runs random writes, restores and faults.
 
-@returns What was broken; empty where nothing was.
+@returns The violations; empty if there were none.
 */
 export const runRestoreModel = async (
 	t: Pick<TestContext, 'mock'>,
@@ -72,7 +73,7 @@
 		createMirror,
 	}: ModelOptions,
 ): Promise<readonly string[]> => {
-	const scene = createRegistrySimulation(t, {
+	const simulation = createRegistrySimulation(t, {
 		zones,
 		nodes: nodeCount,
 		hasEras,
@@ -80,28 +81,32 @@
 		...(createMirror && {createMirror}),
 	});
 	const random = createRandom(seed);
-	const truth: Truth = {version: 0, servers: new Map(), evacuated: new Map()};
-	const broken = new Set<string>();
-	const checks = createChecker(scene, truth, broken);
+	const desired: DesiredState = {
+		version: 0,
+		servers: new Map(),
+		evacuated: new Map(),
+	};
+	const violations = new Set<string>();
+	const checks = createChecker(simulation, desired, violations);
 	const checker = {
 		...checks,
 		step() {
-			injectFault(scene);
+			injectFault(simulation);
 			checks.step();
 		},
 	};
-	const writer = createWriter(scene, truth, checker);
+	const writer = createWriter(simulation, desired, checker);
 	writer.routes();
 	for (const id of ['s1', 's2', 's3']) {
 		writer.server(id);
 	}
 
-	await scene.advance(4000);
-	const disturbances = createDisturbances(scene, random, checker);
-	const copies = [scene.registry.revision()];
+	await simulation.advance(4000);
+	const disturbances = createDisturbances(simulation, random, checker);
+	const copies = [simulation.registry.revision()];
 	let lapseAt = Infinity;
 	const lapse = () => {
-		if (!(scene.now() >= lapseAt)) {
+		if (!(simulation.now() >= lapseAt)) {
 			return;
 		}
 
@@ -109,62 +114,62 @@
 		writer.lapse();
 	};
 
-	while (scene.now() < lengthMs) {
+	while (simulation.now() < lengthMs) {
 		lapse();
 		const draw = random.below(12);
 		if (draw === 0) {
 			await disturbances.restore(copies.at(-1 - random.below(2)) ?? copies[0]!);
-			copies.splice(0, copies.length, scene.registry.revision());
-			lapseAt = scene.now() + lapseMs;
-			await scene.advance(random.below(600), checker.step);
+			copies.splice(0, copies.length, simulation.registry.revision());
+			lapseAt = simulation.now() + lapseMs;
+			await simulation.advance(random.below(600), checker.step);
 			writer.all();
 		} else if (draw === 1) {
-			copies.push(scene.registry.revision());
+			copies.push(simulation.registry.revision());
 		} else if (draw < 5) {
 			disturbances.draw();
 		} else {
 			writer.draw(random);
 		}
 
-		await scene.advance(50 + random.below(700), checker.step);
+		await simulation.advance(50 + random.below(700), checker.step);
 	}
 
 	disturbances.end();
-	await scene.advance(lapseMs, checker.step);
+	await simulation.advance(lapseMs, checker.step);
 	lapse();
-	await scene.advance(evacuationRetentionMs, checker.step);
+	await simulation.advance(evacuationRetentionMs, checker.step);
 	writer.routes();
-	await scene.advance(applyMs, checker.step);
+	await simulation.advance(applyMs, checker.step);
 	checker.checkAgreement();
-	await scene.stop();
-	return [...broken];
+	await simulation.stop();
+	return [...violations];
 };
 
 const createWriter = (
 	{registry, now}: RegistrySimulation,
-	truth: Truth,
+	desired: DesiredState,
 	checker: Checker,
 ) => {
 	let lastId = 3;
 
 	const putRoutes = () => {
-		const {version} = truth;
+		const {version} = desired;
 		registry.write('routes', {kind: 'routes', document: documentOf({version})});
-		checker.oblige(
+		checker.expect(
 			`routes ${version}`,
 			({mirror}) => (mirror.routes()?.document.version ?? 0) >= version,
 		);
 	};
 
 	const putServer = (id: string) => {
-		const server = truth.servers.get(id)!;
+		const server = desired.servers.get(id)!;
 		server.sequence += 1;
 		registry.write(`servers/${id}`, {
 			kind: 'server',
 			server: registeredServerOf(id, {...server}),
 		});
 		if (server.isLeaving) {
-			checker.oblige(
+			checker.expect(
 				`shutdown of ${id}`,
 				({mirror}) => mirror.servers().get(id)?.server.isLeaving !== false,
 			);
@@ -172,42 +177,44 @@
 	};
 
 	const putEvacuation = (zone: string) => {
-		const since = truth.evacuated.get(zone);
+		const since = desired.evacuated.get(zone);
 		const isActive = since !== undefined;
 		registry.write(
 			`evacuate ${zone}`,
 			isActive ? {kind: 'evacuation', availabilityZone: zone} : undefined,
 		);
-		// An evacuation that the copy lacks cannot be told from one that is not wanted any more.
-		checker.oblige(
+		// A node cannot distinguish an evacuation that the copy lacks from one that the operator removed.
+		checker.expect(
 			`evacuation of ${zone} ${isActive}`,
 			({mirror}) =>
-				truth.evacuated.get(zone) !== since ||
+				desired.evacuated.get(zone) !== since ||
 				mirror.isEvacuated(zone) === isActive,
 			isActive ? 0 : evacuationRetentionMs,
 		);
 	};
 
 	const idAt = (random: Random): string | undefined =>
-		[...truth.servers.keys()][random.below(Math.max(1, truth.servers.size))];
+		[...desired.servers.keys()][
+			random.below(Math.max(1, desired.servers.size))
+		];
 
 	const server = (id: string) => {
-		truth.servers.set(id, {isLeaving: false, sequence: 0});
+		desired.servers.set(id, {isLeaving: false, sequence: 0});
 		putServer(id);
 	};
 
 	const routes = () => {
-		truth.version += 1;
+		desired.version += 1;
 		putRoutes();
 	};
 
 	return {
 		routes,
 		server,
-		// What was lost is written again.
+		// Writes the lost state again.
 		all() {
 			putRoutes();
-			for (const id of truth.servers.keys()) {
+			for (const id of desired.servers.keys()) {
 				putServer(id);
 			}
 
@@ -215,11 +222,11 @@
 				putEvacuation(zone);
 			}
 		},
-		// The entries of servers that do not live end after some heartbeats of silence.
+		// Removes the entries of dead servers, whose leases lapse after some missed heartbeats.
 		lapse() {
 			for (let index = 1; index <= lastId; index += 1) {
 				const id = `s${index}`;
-				if (!truth.servers.has(id)) {
+				if (!desired.servers.has(id)) {
 					registry.write(`servers/${id}`, undefined);
 				}
 			}
@@ -235,7 +242,7 @@
 
 				case 1: {
 					if (id !== undefined) {
-						truth.servers.get(id)!.isLeaving = true;
+						desired.servers.get(id)!.isLeaving = true;
 						putServer(id);
 					}
 
@@ -243,8 +250,8 @@
 				}
 
 				case 2: {
-					if (id !== undefined && truth.servers.get(id)!.isLeaving) {
-						truth.servers.delete(id);
+					if (id !== undefined && desired.servers.get(id)!.isLeaving) {
+						desired.servers.delete(id);
 						registry.write(`servers/${id}`, undefined);
 					}
 
@@ -253,8 +260,8 @@
 
 				case 3: {
 					const zone = random.below(2) === 0 ? 'zone-a' : 'zone-b';
-					if (!truth.evacuated.delete(zone)) {
-						truth.evacuated.set(zone, now());
+					if (!desired.evacuated.delete(zone)) {
+						desired.evacuated.set(zone, now());
 					}
 
 					putEvacuation(zone);
@@ -272,33 +279,33 @@
 type Checker = ReturnType<typeof createChecker>;
 
 const createChecker = (
-	scene: RegistrySimulation,
-	truth: Truth,
-	broken: Set<string>,
+	simulation: RegistrySimulation,
+	desired: DesiredState,
+	violations: Set<string>,
 ) => {
-	const obligations: Obligation[] = [];
-	const disturbedAt = scene.nodes.map(() => -Infinity);
+	const expectations: Expectation[] = [];
+	const disturbedAt = simulation.nodes.map(() => -Infinity);
 	const versions = new Map<object, number>();
 	const leaving = new Map<object, Set<string>>();
 	const evacuated = new Map<object, Set<string>>();
 	let restoredAt = -Infinity;
 
 	const report = (index: number, what: string) => {
-		broken.add(`node ${index} at ${scene.now()}: ${what}`);
+		violations.add(`node ${index} at ${simulation.now()}: ${what}`);
 	};
 
 	const isDisturbed = (index: number) => {
-		const node = scene.nodes[index]!;
+		const node = simulation.nodes[index]!;
 		return (
-			disturbedAt[index]! + applyMs > scene.now() ||
+			disturbedAt[index]! + applyMs > simulation.now() ||
 			node.isFrozen ||
 			node.isCutFromNodes ||
 			node.isCutFromRegistry
 		);
 	};
 
-	const checkKept = (index: number) => {
-		const {mirror} = scene.nodes[index]!;
+	const checkRetained = (index: number) => {
+		const {mirror} = simulation.nodes[index]!;
 		const version = mirror.routes()?.document.version ?? 0;
 		if (version < (versions.get(mirror) ?? 0)) {
 			report(index, `routes went back to ${version}`);
@@ -317,10 +324,10 @@
 
 		const zonesKnown = evacuated.get(mirror) ?? new Set();
 		evacuated.set(mirror, zonesKnown);
-		for (const zone of new Set([...truth.evacuated.keys(), ...zonesKnown])) {
-			const since = truth.evacuated.get(zone) ?? Infinity;
-			// The node may still hear of an end before this beginning.
-			if (scene.now() < since + applyMs || isDisturbed(index)) {
+		for (const zone of new Set([...desired.evacuated.keys(), ...zonesKnown])) {
+			const since = desired.evacuated.get(zone) ?? Infinity;
+			// The node may not know yet that an earlier evacuation of the zone ended before this one began.
+			if (simulation.now() < since + applyMs || isDisturbed(index)) {
 				zonesKnown.delete(zone);
 			} else if (mirror.isEvacuated(zone)) {
 				zonesKnown.add(zone);
@@ -330,16 +337,16 @@
 		}
 	};
 
-	const checkObligations = () => {
-		const due = obligations.filter(({at}) => at + applyMs <= scene.now());
-		obligations.splice(0, due.length);
-		for (const {at, name, meets, excusedMs} of due) {
-			for (const [index, node] of scene.nodes.entries()) {
-				const isExcused =
-					restoredAt + excusedMs > at ||
+	const checkExpectations = () => {
+		const due = expectations.filter(({at}) => at + applyMs <= simulation.now());
+		expectations.splice(0, due.length);
+		for (const {at, name, check, exemptMs} of due) {
+			for (const [index, node] of simulation.nodes.entries()) {
+				const isExempt =
+					restoredAt + exemptMs > at ||
 					disturbedAt[index]! > at - applyMs ||
 					isDisturbed(index);
-				if (!isExcused && !meets(node)) {
+				if (!isExempt && !check(node)) {
 					report(index, `${name}, written at ${at}`);
 				}
 			}
@@ -347,28 +354,28 @@
 	};
 
 	return {
-		oblige(name: string, meets: Obligation['meets'], excusedMs = 0) {
-			obligations.push({at: scene.now(), name, meets, excusedMs});
+		expect(name: string, check: Expectation['check'], exemptMs = 0) {
+			expectations.push({at: simulation.now(), name, check, exemptMs});
 		},
 		disturbed(index: number) {
-			disturbedAt[index] = scene.now();
+			disturbedAt[index] = simulation.now();
 		},
 		restored() {
-			restoredAt = scene.now();
+			restoredAt = simulation.now();
 		},
 		step() {
-			for (const index of scene.nodes.keys()) {
-				checkKept(index);
+			for (const index of simulation.nodes.keys()) {
+				checkRetained(index);
 			}
 
-			checkObligations();
+			checkExpectations();
 		},
 		checkAgreement() {
-			const servers = [...truth.servers]
+			const servers = [...desired.servers]
 				.filter(([, {isLeaving}]) => !isLeaving)
 				.map(([id]) => id);
-			const expected = `${truth.version}; ${servers.toSorted().join(' ')}; ${[...truth.evacuated.keys()].toSorted().join(' ')}`;
-			for (const [index, {mirror}] of scene.nodes.entries()) {
+			const expected = `${desired.version}; ${servers.toSorted().join(' ')}; ${[...desired.evacuated.keys()].toSorted().join(' ')}`;
+			for (const [index, {mirror}] of simulation.nodes.entries()) {
 				const used = [...mirror.servers()]
 					.filter(([, {server}]) => !server.isLeaving)
 					.map(([id]) => id);
