--- a/src/membership/entry-vms.ts
+++ b/src/membership/entry-vms.ts
@@ -2,7 +2,7 @@
 import type {Member} from './member.ts';
 
 /**
-The answer to the question which entry VMs to use.
+The answer to a request for the entry VMs to use.
 */
 export type EntryVmList = {
 	/**
@@ -10,21 +10,21 @@
 	*/
 	readonly entryVms: readonly string[];
 	/**
-	Seconds for which the answer holds.
+	Seconds for which the answer is valid.
 	*/
 	readonly validForSeconds: number;
 };
 
 /**
-How long callers may keep an answer; short, so that leaving VMs drop out soon.
+How long callers may cache an answer, in seconds; short, so that callers soon stop using leaving VMs.
 */
 export const entryVmValiditySeconds = 10;
 
 /**
- Orders the entry VMs for one caller: own zone first, then the others.
+ Orders the entry VMs for one caller: those in this node's zone first, then the others.
  
- Within each group the order is drawn anew for each answer, so that callers spread
- evenly; VMs that are leaving, suspect or dead are left out.
+ Each answer shuffles both groups, so that callers spread evenly. VMs that are leaving, suspect
+ or dead are left out.
  */
 export const listEntryVms = (
 	self: Member,
@@ -32,14 +32,14 @@
 	random: Random,
 ): EntryVmList => {
 	const live = [self, ...members].filter(({status}) => status === 'alive');
-	const own = live.filter(
+	const local = live.filter(
 		({availabilityZone}) => availabilityZone === self.availabilityZone,
 	);
 	const others = live.filter(
 		({availabilityZone}) => availabilityZone !== self.availabilityZone,
 	);
 	return {
-		entryVms: [...shuffle(own, random), ...shuffle(others, random)].map(
+		entryVms: [...shuffle(local, random), ...shuffle(others, random)].map(
 			({callerAddress}) => `http://${callerAddress}`,
 		),
 		validForSeconds: entryVmValiditySeconds,
--- a/src/membership/member-entries.ts
+++ b/src/membership/member-entries.ts
@@ -1,25 +1,25 @@
 import type {Member} from './member.ts';
 
 /**
-The other members by the latest statement about each, and how far each statement was passed on.
+The latest update about each other member, and how often each update was sent on.
 */
 export type MemberEntries = {
 	find(id: string): Member | undefined;
 	/**
-	Enters a statement that goes before the one known.
+	Stores an update that takes precedence over the known one.
 	*/
 	put(member: Member, now: number): void;
 	forget(id: string): void;
 	/**
-	All members; another list after each change, the same one as long as there is none.
+	All members: a new list after each change, the same list otherwise.
 	*/
 	all(): readonly Member[];
 	/**
-	Members with a status since some time.
+	Members that have had a status since the given time or earlier.
 	*/
 	since(status: Member['status'], at: number): readonly Member[];
 	/**
-	Statements to pass on now, those first that were passed on least; each counts as passed on once more.
+	The updates to send on now, the least transmitted ones first. Increments the transmission count of each.
 	*/
 	takeUpdates(count: number): readonly Member[];
 };
@@ -28,20 +28,20 @@
 	readonly member: Member;
 	readonly changedAt: number;
 	/**
-	How often this statement was passed on.
+	How often this update was sent on.
 	*/
 	transmissions: number;
 };
 
 /**
-Builds entries of nobody.
+Creates an empty set of entries.
 */
 export const createMemberEntries = (): MemberEntries => {
 	const entries = new Map<string, Entry>();
-	// Each choice of a node and each tick asks for the members; among hundreds a new list each time is dear.
+	// Every node selection and every tick reads the members, and with hundreds of members a new list each time is expensive.
 	let list: readonly Member[] | undefined;
 
-	// After so many rounds everybody has heard of a statement with great likelihood.
+	// After this many transmissions, all members have received an update with high probability.
 	const maximumTransmissions = () => 3 * Math.ceil(Math.log2(entries.size + 2));
 
 	return {
@@ -71,17 +71,17 @@
 				.toArray(),
 		takeUpdates(count) {
 			const most = maximumTransmissions();
-			const fresh = entries
+			const pending = entries
 				.values()
 				.filter(({transmissions}) => transmissions < most)
 				.toArray()
 				.toSorted((left, right) => left.transmissions - right.transmissions)
 				.slice(0, count);
-			for (const entry of fresh) {
+			for (const entry of pending) {
 				entry.transmissions += 1;
 			}
 
-			return fresh.map(({member}) => member);
+			return pending.map(({member}) => member);
 		},
 	};
 };
--- a/src/membership/member.ts
+++ b/src/membership/member.ts
@@ -1,31 +1,31 @@
 import type {Address} from '../shared/index.ts';
 
 /**
-What a node believes of another node.
+The state of a member, as another node sees it.
 */
 export type MemberStatus = 'alive' | 'suspect' | 'dead' | 'leaving';
 
 /**
-One entry node, as heard by heartbeat or read from the VM list.
+One entry node, known from heartbeats or from the VM list.
 */
 export type Member = {
 	readonly id: string;
 	readonly availabilityZone: string;
 	/**
-	Where other nodes reach it: UDP for heartbeats, TCP for calls.
+	Address for other nodes: UDP for heartbeats, TCP for calls.
 	*/
 	readonly peerAddress: Address;
 	/**
-	Where callers reach it.
+	Address for callers.
 	*/
 	readonly callerAddress: Address;
 	/**
-	 When the process started, in milliseconds since the epoch; 0 while known from the
-	 VM list alone. A later start always goes before an earlier one.
+	 When the process started, in milliseconds since the epoch; 0 while the member is known from
+	 the VM list only. A later start always takes precedence over an earlier one.
 	 */
 	readonly incarnation: number;
 	/**
-	Raised by the member itself to refute a suspicion.
+	Incremented by the member itself to refute a suspicion.
 	*/
 	readonly revision: number;
 	readonly status: MemberStatus;
@@ -39,10 +39,10 @@
 };
 
 /**
- Whether one statement about a member goes before another.
+ Whether one update about a member takes precedence over another.
  
- Later incarnation, then later revision, then the graver status: between equals a
- leaving or dead word wins, and only the member itself can raise its revision.
+ The later incarnation wins, then the later revision, then the graver status: at equal
+ incarnation and revision, leaving or dead wins. Only the member itself can increment its revision.
  */
 export const hasPrecedence = (candidate: Member, current: Member): boolean => {
 	if (candidate.incarnation !== current.incarnation) {
--- a/src/membership/membership-event.ts
+++ b/src/membership/membership-event.ts
@@ -1,7 +1,7 @@
 import type {Member} from './member.ts';
 
 /**
-A heartbeat message between nodes, without its piggybacked state.
+A heartbeat message between nodes, without the state that is piggybacked on it.
 */
 export type MembershipMessage =
 	| {
@@ -25,24 +25,24 @@
 	  };
 
 /**
-Something that happened, as membership takes it in.
+An input of the membership protocol.
 */
 export type MembershipEvent =
 	| {readonly kind: 'tick'}
 	| {readonly kind: 'message'; readonly message: MembershipMessage}
 	| {readonly kind: 'vm-list'; readonly entryVms: readonly Member[]}
 	/**
-	The whole view of another node, asked for after a start or a pause.
+	The full view of another node, requested after a start or a pause.
 	*/
 	| {readonly kind: 'state'; readonly members: readonly Member[]}
 	/**
-	Word to be spread at once, such as a new configuration.
+	Piggybacked state, such as a new configuration, that must be sent at once.
 	*/
 	| {readonly kind: 'announce'}
 	| {readonly kind: 'leave'};
 
 /**
-Something that membership wants done.
+An output of the membership protocol, for the caller to carry out.
 */
 export type MembershipAction =
 	| {
--- a/src/membership/membership-parameters.ts
+++ b/src/membership/membership-parameters.ts
@@ -1,27 +1,27 @@
 /**
-Periods and bounds of the failure detector, in milliseconds unless said otherwise.
+Parameters of the failure detector.
 */
 export type MembershipParameters = {
 	readonly probeIntervalMs: number;
 	readonly acknowledgeTimeoutMs: number;
 	readonly suspicionTimeoutMs: number;
 	/**
-	Other members asked to probe on this node's behalf.
+	Number of other members that are asked to probe on this node's behalf.
 	*/
 	readonly indirectProbes: number;
 	/**
-	One probe in this many goes to another zone; it also finds members that came back.
+	One in this many probes goes to another zone. These probes also find members that came back.
 	*/
 	readonly crossZoneEvery: number;
 	readonly deadRetentionMs: number;
 	/**
-	Most member statements in one message.
+	Maximum number of member updates in one message.
 	*/
 	readonly maximumUpdates: number;
 };
 
 /**
-Parameters that suit fleets from a few to some hundreds of nodes.
+Default parameters, for fleets of a few to some hundreds of nodes.
 */
 export const defaultMembershipParameters: MembershipParameters = {
 	probeIntervalMs: 700,
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -12,11 +12,11 @@
 } from './membership-parameters.ts';
 import {createProbeRound} from './probe-round.ts';
 
-// One probe in this many that leave the zone goes to a member taken for dead.
+// One in this many probes outside the zone goes to a member considered dead.
 const deadEvery = 3;
 
 /**
-What membership is built from.
+The identity and the parameters of a node's membership.
 */
 export type MembershipOptions = {
 	readonly self: Member;
@@ -35,12 +35,12 @@
 	*/
 	members(): readonly Member[];
 	/**
-	Members that can be given work or asked for state: alive or suspect, neither leaving nor dead.
+	Members that can receive work or requests for state: alive or suspect, neither leaving nor dead.
 	*/
 	usable(): readonly Member[];
 	find(id: string): Member | undefined;
 	/**
-	When anything was last heard from any other node.
+	When the last message of any other node was received.
 	*/
 	lastReceivedAt(): number | undefined;
 };
@@ -59,9 +59,10 @@
 };
 
 /**
- Builds the failure detector: each interval one member is probed, directly and then by
- way of others; silence makes it suspect, lasting silence dead, and its own word with a
- higher revision clears it. Messages per node do not grow with the fleet.
+ Creates the failure detector. Each interval, one member is probed: directly first, then
+ indirectly through other members. A member that does not answer becomes suspect, and dead after
+ the suspicion timeout, unless it refutes the suspicion by an update with a higher revision. The
+ number of messages per node does not grow with the fleet.
  */
 export const createMembership = (options: MembershipOptions): Membership => {
 	const parameters = options.parameters ?? defaultMembershipParameters;
@@ -73,7 +74,7 @@
 	let sequence = 0;
 	let round = 0;
 	let nextProbeAt = 0;
-	let lastHeard: number | undefined;
+	let lastReceivedAt: number | undefined;
 	let outsideRound = 0;
 
 	const learn = (member: Member, now: number): readonly MembershipAction[] => {
@@ -90,19 +91,19 @@
 		return [{kind: 'changed', member}];
 	};
 
-	// A word against this very process is answered with a higher revision; a word about an
-	// earlier process at this address needs no answer, for the incarnation already wins.
+	// A suspicion of this process is refuted by a higher revision. An update about an earlier process
+	// with this id needs no answer, because the later incarnation wins anyway.
 	const refute = (member: Member): readonly MembershipAction[] => {
-		// Only an earlier process under this id can have a later start: the time of day went back in
-		// between. This process is the living one, so it takes a start after that.
+		// Only an earlier process with this id can have a later start time: the system clock went back in
+		// between. This process is the live one, so it moves its incarnation past that start time.
 		if (member.incarnation > self.incarnation) {
 			self = {...self, incarnation: member.incarnation + 1};
 			return [];
 		}
 
-		const isAgainst = member.status === 'suspect' || member.status === 'dead';
+		const isSuspicion = member.status === 'suspect' || member.status === 'dead';
 		if (
-			isAgainst &&
+			isSuspicion &&
 			member.incarnation === self.incarnation &&
 			member.revision >= self.revision
 		) {
@@ -114,13 +115,13 @@
 
 	const pickUpdates = () => entries.takeUpdates(parameters.maximumUpdates);
 
-	// What the sender believes of the receiver goes along, so that a wrongly suspected
-	// member hears of it at once and can refute it.
+	// Includes the sender's view of the receiver if that is suspect or dead, so that a wrongly
+	// suspected member learns of it at once and can refute it.
 	const updatesFor = (target: Member): readonly Member[] => {
 		const belief = entries.find(target.id);
-		const isDoubted =
+		const isSuspected =
 			belief && (belief.status === 'suspect' || belief.status === 'dead');
-		return isDoubted ? [belief, ...pickUpdates()] : pickUpdates();
+		return isSuspected ? [belief, ...pickUpdates()] : pickUpdates();
 	};
 
 	const send = (
@@ -161,7 +162,7 @@
 			: (near.next() ?? nextOutside());
 	};
 
-	// The dead are tried now and then, so that zones find each other after a cut.
+	// Dead members are probed now and then, so that zones find each other after a partition.
 	const nextOutside = (): Member | undefined => {
 		outsideRound += 1;
 		return outsideRound % deadEvery === 0
@@ -181,10 +182,10 @@
 	};
 
 	const askOthers = (expired: Probe): readonly MembershipAction[] => {
-		const helpers = usable().filter(({id}) => id !== expired.target);
-		return drawSome(helpers, parameters.indirectProbes).map((helper) => ({
+		const proxies = usable().filter(({id}) => id !== expired.target);
+		return drawSome(proxies, parameters.indirectProbes).map((proxy) => ({
 			kind: 'send',
-			to: helper,
+			to: proxy,
 			message: {
 				kind: 'ping-request',
 				sequence: expired.sequence,
@@ -269,7 +270,7 @@
 		message: MembershipMessage,
 		now: number,
 	): readonly MembershipAction[] => {
-		lastHeard = now;
+		lastReceivedAt = now;
 		const actions = [message.from, ...message.updates].flatMap((member) =>
 			learn(member, now),
 		);
@@ -310,7 +311,7 @@
 		}
 
 		relays.delete(number);
-		// The requester learns from the target's own statement that it answers.
+		// The acknowledgement carries the target's own update, from which the requester learns that it is alive.
 		return [
 			{
 				kind: 'send',
@@ -359,7 +360,7 @@
 				return learn(vm, now);
 			}
 
-			// The list lags: it can add a leaving word about the process it means, and never revive one.
+			// The list lags behind. It can mark the process that it lists as leaving, but never revive one.
 			return vm.status === 'leaving' &&
 				known.status === 'alive' &&
 				vm.incarnation >= known.incarnation
@@ -405,7 +406,7 @@
 				}
 
 				case 'state': {
-					lastHeard = now;
+					lastReceivedAt = now;
 					return event.members.flatMap((member) => learn(member, now));
 				}
 
@@ -426,6 +427,6 @@
 		members: entries.all,
 		usable,
 		find: entries.find,
-		lastReceivedAt: () => lastHeard,
+		lastReceivedAt: () => lastReceivedAt,
 	};
 };
--- a/src/membership/probe-round.ts
+++ b/src/membership/probe-round.ts
@@ -2,19 +2,19 @@
 import type {Member} from './member.ts';
 
 /**
-Goes through a group of members in shuffled rounds.
+Iterates over a group of members in shuffled rounds.
 */
 export type ProbeRound = {
 	/**
-	The next member of the group, or undefined where it is empty.
+	The next member of the group, or undefined if the group is empty.
 	*/
 	next(): Member | undefined;
 };
 
 /**
- Builds a round over a group that may change at any time.
+ Creates a round over a group that may change at any time.
  
- A round bounds the time until each member comes up; drawing anew each time would not.
+ A round bounds the time until each member is probed; an independent random choice each time would not.
  */
 export const createProbeRound = (
 	group: () => readonly Member[],
--- a/src/membership/view-fingerprint.ts
+++ b/src/membership/view-fingerprint.ts
@@ -2,8 +2,8 @@
 import type {Member} from './member.ts';
 
 /**
-Names a view of the members: nodes with the same view have the same one, in whatever order they list
-them. 64 bits, so that two views share one by chance never in the life of a deployment.
+Fingerprint of a view of the members. Equal views have equal fingerprints, independent of the order of the members. With
+64 bits, a collision is not expected during the lifetime of a deployment.
 */
 export const viewFingerprint = (members: readonly Member[]): string => {
 	const text = members
--- a/src/membership/zone-role.ts
+++ b/src/membership/zone-role.ts
@@ -6,28 +6,27 @@
 import type {Member} from './member.ts';
 
 /**
-How many nodes of a zone share each duty; a second one covers the loss of the first.
+Number of nodes per zone that hold each role; the second covers the loss of the first.
 */
 export const nodesPerRole = 2;
 
 /**
- Whether this node holds a duty of its zone, such as watching one platform service.
+ Whether this node holds a role in its zone, such as watching one platform service.
  
- Every node works it out from its own view. While views differ, more nodes than
- intended may hold a duty, which costs calls but never correctness.
+ Every node computes this from its own view by rendezvous hashing. While views differ, more nodes
+ than intended may hold a role, which costs calls but never correctness.
  */
 export const hasRole = (
-	duty: string,
+	role: string,
 	self: Member,
 	members: readonly Member[],
-): boolean => roleHolders(duty, self, members).some(({id}) => id === self.id);
+): boolean => roleHolders(role, self, members).some(({id}) => id === self.id);
 
 /**
-The nodes of this node's zone that hold a duty, as far as this node knows, two where no other number
-is given.
+The nodes of this node's zone that hold a role, according to this node's view; two unless another number is given.
 */
 export const roleHolders = (
-	duty: string,
+	role: string,
 	self: Member,
 	members: readonly Member[],
 	count = nodesPerRole,
@@ -37,19 +36,19 @@
 			availabilityZone === self.availabilityZone && status === 'alive',
 	);
 	const candidates = self.status === 'alive' ? [self, ...inZone] : inZone;
-	return rendezvousOrder(duty, candidates, ({id}) => id).slice(0, count);
+	return rendezvousOrder(role, candidates, ({id}) => id).slice(0, count);
 };
 
 /**
-Builds the view of who holds a duty in each zone where one node of it does; worked out anew only when the members
-change, or this node leaves.
+Creates a view of the holder of a role in each zone, for roles with one holder per zone. It is recomputed only when the
+members change or this node leaves.
 
-@param duty Names the duty.
+@param role Name of the role.
 @param self This node.
-@param usable The other nodes that can be given work; replaced when they change.
+@param usable The other nodes that can receive work; a new list whenever they change.
 */
 export const createZoneRoleHolders = (
-	duty: string,
+	role: string,
 	self: () => Member,
 	usable: () => readonly Member[],
 ): (() => ReadonlyMap<string, Member>) => {
@@ -58,7 +57,7 @@
 			[...Map.groupBy(members, ({availabilityZone}) => availabilityZone)].map(
 				([zone, inZone]) => [
 					zone,
-					rendezvousFirst(duty, inZone, ({id}) => id)!,
+					rendezvousFirst(role, inZone, ({id}) => id)!,
 				],
 			),
 		);
--- a/tests/membership/member-entries.test.ts
+++ b/tests/membership/member-entries.test.ts
@@ -2,7 +2,7 @@
 import {createMemberEntries} from '../../src/membership/member-entries.ts';
 import {memberOf} from '../fixtures.ts';
 
-test('the list of members is another one after a change, and the same one else', (t: TestContext) => {
+test('the list of members is a new one after a change, and the same one otherwise', (t: TestContext) => {
 	const entries = createMemberEntries();
 	entries.put(memberOf('a', 'zone-a'), 0);
 	const first = entries.all();
@@ -17,7 +17,7 @@
 	t.assert.strictEqual(entries.find('a'), undefined);
 });
 
-test('statements are passed on in turn, those passed on least first, and not for ever', (t: TestContext) => {
+test('the least transmitted updates are sent first, and each is sent a limited number of times', (t: TestContext) => {
 	const entries = createMemberEntries();
 	for (const id of ['a', 'b', 'c']) {
 		entries.put(memberOf(id, 'zone-a'), 0);
@@ -35,7 +35,7 @@
 	t.assert.deepStrictEqual(idsOf(3), ['b']);
 });
 
-test('members are found by status and by how long they have it', (t: TestContext) => {
+test('members are found by their status and the time since when they have it', (t: TestContext) => {
 	const entries = createMemberEntries();
 	entries.put({...memberOf('a', 'zone-a'), status: 'suspect'}, 100);
 	entries.put(memberOf('b', 'zone-a'), 0);
--- a/tests/membership/membership.test.ts
+++ b/tests/membership/membership.test.ts
@@ -15,10 +15,10 @@
 import {createRandom} from '../../src/shared/index.ts';
 import {fixedRandom, memberOf} from '../fixtures.ts';
 
-// A few nodes in virtual time, with a network that can lose messages and be cut.
+// A few nodes in simulated time, with a network that can be partitioned and nodes that can be frozen.
 type Network = {
 	readonly nodes: Map<string, Membership>;
-	readonly cut: Set<string>;
+	readonly blockedLinks: Set<string>;
 	readonly frozen: Set<string>;
 	now: number;
 	sent: number;
@@ -38,7 +38,7 @@
 	);
 	const network: Network = {
 		nodes,
-		cut: new Set(),
+		blockedLinks: new Set(),
 		frozen: new Set(),
 		now: 0,
 		sent: 0,
@@ -57,7 +57,7 @@
 };
 
 const isOpen = (network: Network, from: string, to: string) =>
-	!network.cut.has(`${from}>${to}`) &&
+	!network.blockedLinks.has(`${from}>${to}`) &&
 	!network.frozen.has(from) &&
 	!network.frozen.has(to);
 
@@ -111,7 +111,7 @@
 const names = ['a1', 'a2', 'a3', 'b1', 'b2', 'b3'];
 const zoneOf = (name: string) => name[0]!;
 
-test('all nodes learn that all others live', () => {
+test('all nodes learn that all other nodes are alive', () => {
 	const network = createNetwork(names, zoneOf);
 	run(network, 15_000);
 	for (const viewer of names) {
@@ -122,7 +122,7 @@
 	}
 });
 
-test('a node that is gone is known to be dead everywhere, and one that returns to live', () => {
+test('all nodes consider an unreachable node dead, and alive again when it returns', () => {
 	const network = createNetwork(names, zoneOf);
 	run(network, 5000);
 	network.frozen.add('a1');
@@ -141,28 +141,28 @@
 	);
 });
 
-test('a broken link between two nodes that others can reach makes neither dead', () => {
+test('a broken link between two nodes that are reachable through others makes neither of them dead', () => {
 	const network = createNetwork(names, zoneOf);
 	run(network, 5000);
-	network.cut.add('a1>a2').add('a2>a1');
+	network.blockedLinks.add('a1>a2').add('a2>a1');
 	run(network, 30_000);
 	assert.notEqual(statusOf(network, 'a1', 'a2'), 'dead');
 	assert.notEqual(statusOf(network, 'b1', 'a2'), 'dead');
 });
 
-test('two zones cut from each other and healed find each other again without the VM list', () => {
+test('two zones find each other again after a partition, without the VM list', () => {
 	const network = createNetwork(names, zoneOf);
 	run(network, 5000);
 	for (const left of names.filter((name) => zoneOf(name) === 'a')) {
 		for (const right of names.filter((name) => zoneOf(name) === 'b')) {
-			network.cut.add(`${left}>${right}`).add(`${right}>${left}`);
+			network.blockedLinks.add(`${left}>${right}`).add(`${right}>${left}`);
 		}
 	}
 
 	run(network, 60_000);
 	assert.equal(statusOf(network, 'a1', 'b1'), 'dead');
 	assert.equal(statusOf(network, 'a1', 'a2'), 'alive');
-	network.cut.clear();
+	network.blockedLinks.clear();
 	run(network, 60_000);
 	for (const viewer of names) {
 		for (const name of names.filter((other) => other !== viewer)) {
@@ -175,14 +175,14 @@
 	}
 });
 
-test('a cut-off zone knows all members of the others to be dead within a bound, whatever the draws', () => {
+test('a partitioned zone considers all members of the other zones dead within 14 s, for all seeds', () => {
 	const few = ['a1', 'a2', 'b1', 'b2', 'c1', 'c2'];
 	for (let seed = 1; seed <= 60; seed += 1) {
 		const network = createNetwork(few, zoneOf, seed * 100);
 		run(network, 5000);
 		for (const left of few) {
 			for (const right of few.filter((name) => zoneOf(name) !== zoneOf(left))) {
-				network.cut.add(`${left}>${right}`);
+				network.blockedLinks.add(`${left}>${right}`);
 			}
 		}
 
@@ -197,7 +197,7 @@
 	}
 });
 
-test('a leaving word reaches all nodes and is not undone by the process that left', () => {
+test('the leaving status reaches all nodes, and only a later process of the node reverts it', () => {
 	const network = createNetwork(names, zoneOf);
 	run(network, 5000);
 	deliver(
@@ -218,7 +218,7 @@
 	assert.equal(statusOf(network, 'a2', 'a1'), 'alive');
 });
 
-test('messages of a node do not grow with the fleet', () => {
+test('the number of messages per node does not grow with the fleet', () => {
 	const sentBy = (count: number) => {
 		const many = Array.from({length: count}, (_, index) => `a${index}`);
 		const network = createNetwork(many, zoneOf);
@@ -233,21 +233,21 @@
 });
 
 const status = fc.constantFrom('alive', 'suspect', 'dead', 'leaving');
-const statement = fc.record({
+const update = fc.record({
 	incarnation: fc.integer({min: 0, max: 2}),
 	revision: fc.integer({min: 0, max: 2}),
 	status,
 });
 
-test('in whatever order statements arrive, no later process is replaced by an earlier one and leaving stays', () => {
+test('for updates in any order, an earlier process never replaces a later one, and leaving is not reverted', () => {
 	fc.assert(
-		fc.property(fc.array(statement, {maxLength: 20}), (statements) => {
+		fc.property(fc.array(update, {maxLength: 20}), (updates) => {
 			const membership = createMembership({
 				self: memberOf('self', 'a'),
 				random: fixedRandom(),
 			});
 			let before: Member | undefined;
-			for (const change of statements) {
+			for (const change of updates) {
 				membership.handle(
 					{
 						kind: 'state',
@@ -271,9 +271,9 @@
 	);
 });
 
-test('two statements never both go before each other', () => {
+test('two updates never both take precedence over each other', () => {
 	fc.assert(
-		fc.property(statement, statement, (left, right) => {
+		fc.property(update, update, (left, right) => {
 			const one = memberOf('m', 'a', left);
 			const two = memberOf('m', 'a', right);
 			assert.ok(!(hasPrecedence(one, two) && hasPrecedence(two, one)));
@@ -281,7 +281,7 @@
 	);
 });
 
-test('entry VMs: own zone first, the leaving and dead left out', () => {
+test('entry VMs of the own zone come first, and leaving and dead ones are left out', () => {
 	const self = memberOf('s', 'a', {callerAddress: '127.0.0.1:1'});
 	const members = [
 		memberOf('b', 'b', {callerAddress: '127.0.0.1:2'}),
@@ -297,7 +297,7 @@
 	assert.deepEqual(entryVms.slice(2), ['http://127.0.0.1:2']);
 });
 
-test('each duty is held by a few nodes of a zone, and by others when those are gone', () => {
+test('each role is held by a few nodes of a zone, and by other nodes after those are gone', () => {
 	const zone = Array.from({length: 9}, (_, index) =>
 		memberOf(`n${index}`, 'a'),
 	);
@@ -315,7 +315,7 @@
 	assert.equal(holdersAmong(left).length, nodesPerRole);
 });
 
-test('a process that restarts after the time of day went back is not taken for its dead predecessor', () => {
+test('a process that restarts after its clock went back is not considered dead like its predecessor', () => {
 	const earlier: Member = {
 		id: 'restarted',
 		availabilityZone: 'zone-a',
--- a/tests/membership/view-fingerprint.test.ts
+++ b/tests/membership/view-fingerprint.test.ts
@@ -11,7 +11,7 @@
 	);
 });
 
-test('a member more, a restart, a refutation and another status each make another view', (t: TestContext) => {
+test('an additional member, a restart, a refutation and another status each change the fingerprint', (t: TestContext) => {
 	const [first, ...others] = view;
 	const views = [
 		view,
--- a/tests/membership/zone-role.test.ts
+++ b/tests/membership/zone-role.test.ts
@@ -6,14 +6,14 @@
 } from '../../src/membership/index.ts';
 import {memberOf} from '../fixtures.ts';
 
-test('each zone has one holder of a duty, the same at every node, and a node that leaves holds none', () => {
+test('each zone has one holder of a role, the same in every view, and a leaving node holds no role', () => {
 	const all = Array.from({length: 12}, (_, index) =>
 		memberOf(`node-${index}`, `zone-${index % 3}`),
 	);
 	const holdersAt = (self: Member) => {
 		const others = all.filter(({id}) => id !== self.id);
 		return createZoneRoleHolders(
-			'duty',
+			'role',
 			() => self,
 			() => others,
 		)();
@@ -29,11 +29,11 @@
 	}
 });
 
-test('holders are worked out anew when the members change, and only then', () => {
+test('holders are recomputed when the members change, and only then', () => {
 	let others = [memberOf('node-1', 'zone-a')];
 	const self = memberOf('node-2', 'zone-a');
 	const holders = createZoneRoleHolders(
-		'duty',
+		'role',
 		() => self,
 		() => others,
 	);
