--- a/src/quarantine/crash-ledger.ts
+++ b/src/quarantine/crash-ledger.ts
@@ -4,87 +4,88 @@
 import type {QuarantineEntry} from './quarantine-entry.ts';
 
 /**
-What is known against a request.
+Whether a request is suspected of crashing servers, or in quarantine for it.
 */
 export type QuarantineStatus =
 	| {readonly kind: 'clear'}
 	/**
-	It was at servers when they crashed; so were others.
+	The request was in flight at servers when they crashed, as were others.
 	*/
 	| {readonly kind: 'suspect'; readonly crashes: number}
 	/**
-	What the other nodes saw of its latest crash is still to be heard.
+	Other nodes may still report what they saw of the request's latest crash.
 	*/
 	| {readonly kind: 'pending'}
 	| {readonly kind: 'quarantined'; readonly until: number};
 
 /**
-Finds the requests that crash the servers that run them, by what all nodes saw under way at each server that crashed.
+Finds the requests that crash servers, from the requests that all nodes had in flight at each server that crashed.
 
-A request alone tells nothing: whatever shared the server was there as well. But its runs end with crashes one after the
-other, and of all that was at its latest crash it was at the most crashes. A request that was answered whole anywhere is
-cleared, and so is what shared crashes with one that is found out.
+One crash does not identify the request, because all requests that shared the server were in flight as well. But every
+run of the faulty request ends in a crash, one after the other, and of all requests at its latest crash it was at the most
+crashes. A request that is completed anywhere is cleared, and so are requests that shared crashes with one that is found.
 */
 export type CrashLedger = {
 	/**
-	Takes in what a node saw of a crash, in any order and any number of times.
+	Adds a node's report of a crash. Reports may arrive in any order and any number of times.
 	*/
 	addCrash(crash: Crash, now: number): void;
 	/**
-	Takes in that another node put a request in quarantine; returns whether that is news.
+	Merges a quarantine entry of another node; returns whether it newly puts the request in quarantine.
 	*/
 	mergeEntry(entry: QuarantineEntry, now: number): boolean;
 	/**
-	A request was answered whole; returns whether anything was known against it.
+	Clears a request that received a complete answer; returns whether it was suspected or listed.
 	*/
 	served(fingerprint: string): boolean;
 	status(fingerprint: string, now: number): QuarantineStatus;
 	/**
-	Puts requests in quarantine of whose crashes all is heard, and returns them; called at each tick.
+	Evaluates the crashes whose report window is over, puts requests in quarantine and returns them; called at each tick.
 	*/
 	evaluate(now: number): readonly QuarantineEntry[];
 	/**
-	Requests in quarantine.
+	The requests in quarantine.
 	*/
 	entries(now: number): readonly QuarantineEntry[];
 	/**
-	Whether nothing is known against any request.
+	Whether no request is suspected or listed.
 	*/
 	isEmpty(): boolean;
 	/**
-	Requests that were at servers when they crashed.
+	Number of requests that were in flight at servers when they crashed.
 	*/
 	suspects(): number;
 };
 
 /**
-A request that was at so many crashes, one after the other, may be put in quarantine. Not whatever was at them is: requests
-that crash nothing were there by chance, and the blame is weighed as below.
+Minimum number of sequential crashes after which a request may be put in quarantine. Not every such request is: harmless
+requests may have been there by chance, so the blame is weighed as described below.
 */
 export const minimumCrashes = 3;
 
 /**
-The part of the blame for its crashes that puts a request in quarantine. The blame for a crash is shared by all that
-were there, by what each is to blame for elsewhere; two that were at the same three crashes have one and a half each.
+The blame at which a request is put in quarantine. The blame for a crash is shared among the requests in flight,
+weighted by the number of their crashes; two requests that were at the same three crashes have a blame of 1.5 each.
 */
 export const blameThreshold = 1.6;
 
-// One more crash weighs five times as much, so that a request with three has most of the blame beside two dozen with one.
+// Each additional crash multiplies the weight by five, so that a request with three crashes has most of the blame even
+// beside two dozen requests with one crash.
 const weightOf = (crashes: number): number => 5 ** crashes;
 
 /**
-At so many crashes one after the other it is, whatever else was there.
+Number of sequential crashes at which a request is put in quarantine whatever other requests were in flight.
 */
 export const conclusiveCrashes = 6;
 
 /**
-How long the other nodes have to tell what they saw of a crash, in milliseconds: the way between two regions, and what
-they take to see that nobody listens any more.
+How long a node waits for the other nodes' reports of a crash, in milliseconds: the latency between two regions, and the
+time they need to detect that the server no longer accepts connections.
 */
 export const crashReportWindowMs = 200;
 
 /**
-Builds a ledger without an entry.
+Creates an empty ledger.
 */
 export const createCrashLedger = (
 	list: QuarantineList = createQuarantineList(),
@@ -100,13 +101,13 @@
 		records
 			.incarnationIdsOf(fingerprint)
 			.values()
-			.map((life) => records.of(life)!)
+			.map((incarnationId) => records.of(incarnationId)!)
 			.filter((record) => !isExplained(record, fingerprint))
 			.toArray();
 
-	// Crashes of which each came after the run before had ended: what was at several servers of a zone that lost power was
-	// at one crash.
-	const crashesInTurn = (fingerprint: string): number => {
+	// Counts the crashes at which the request was sent after its previous run had ended. A request that was at several
+	// servers of a zone that lost power was thus at one crash.
+	const sequentialCrashes = (fingerprint: string): number => {
 		let count = list.priorCrashes(fingerprint);
 		let endedAt = -Infinity;
 		const inOrder = unexplained(fingerprint).toSorted(
@@ -124,51 +125,53 @@
 		return count;
 	};
 
-	// Its share of the blame for each crash, added up. Two that were at the same three crashes have one and a half each.
+	// Sums the request's share of the blame for each crash. Two requests that were at the same three crashes have 1.5 each.
 	const blameOf = (fingerprint: string): number => {
 		let blame = list.priorCrashes(fingerprint);
 		for (const {runs} of unexplained(fingerprint)) {
 			let weight = 0;
 			for (const other of runs.keys()) {
-				weight += weightOf(crashesInTurn(other));
+				weight += weightOf(sequentialCrashes(other));
 			}
 
-			blame += weightOf(crashesInTurn(fingerprint)) / weight;
+			blame += weightOf(sequentialCrashes(fingerprint)) / weight;
 		}
 
 		return blame;
 	};
 
-	// Most requests were at one crash, and are no candidates.
+	// Most requests were at a single crash and are not candidates.
 	const candidates = ({runs}: CrashRecord): readonly string[] =>
 		runs
 			.keys()
-			.filter((fingerprint) => crashesInTurn(fingerprint) >= minimumCrashes)
+			.filter((fingerprint) => sequentialCrashes(fingerprint) >= minimumCrashes)
 			.toArray();
 
-	const judge = (
+	const evaluateCrash = (
 		record: CrashRecord,
 		now: number,
 	): QuarantineEntry | undefined => {
 		const [first] = candidates(record).toSorted(
-			(left, right) => crashesInTurn(right) - crashesInTurn(left),
+			(left, right) => sequentialCrashes(right) - sequentialCrashes(left),
 		);
 		if (first === undefined) {
 			return undefined;
 		}
 
 		const isToBlame =
-			crashesInTurn(first) >= conclusiveCrashes ||
+			sequentialCrashes(first) >= conclusiveCrashes ||
 			blameOf(first) >= blameThreshold;
 		return isToBlame ? list.add(first, now) : undefined;
 	};
 
-	const isUnsettled = (lives: ReadonlySet<string>): boolean =>
-		lives.values().some((life) => unsettled.has(life));
+	const isUnsettled = (incarnationIds: ReadonlySet<string>): boolean =>
+		incarnationIds
+			.values()
+			.some((incarnationId) => unsettled.has(incarnationId));
 
 	return {
 		addCrash(crash, now) {
-			// A node that was frozen, or cut off, tells late: its word may change what was concluded.
+			// A node that was frozen or partitioned reports late, and its report may change the result.
 			if (records.add(crash, now)) {
 				unsettled.add(crash.incarnationId);
 			}
@@ -185,13 +188,13 @@
 				return {kind: 'quarantined', until};
 			}
 
-			const lives = records.incarnationIdsOf(fingerprint);
-			if (lives.size === 0 && !list.isListed(fingerprint)) {
+			const incarnationIds = records.incarnationIdsOf(fingerprint);
+			if (incarnationIds.size === 0 && !list.isListed(fingerprint)) {
 				return {kind: 'clear'};
 			}
 
-			const count = crashesInTurn(fingerprint);
-			if (count >= minimumCrashes && isUnsettled(lives)) {
+			const count = sequentialCrashes(fingerprint);
+			if (count >= minimumCrashes && isUnsettled(incarnationIds)) {
 				return {kind: 'pending'};
 			}
 
@@ -201,14 +204,14 @@
 			records.dropOld(now);
 			list.tick(now);
 			const found: QuarantineEntry[] = [];
-			for (const life of unsettled) {
-				const record = records.of(life);
+			for (const incarnationId of unsettled) {
+				const record = records.of(incarnationId);
 				if (record && now - record.receivedAt < crashReportWindowMs) {
 					continue;
 				}
 
-				unsettled.delete(life);
-				const entry = record && judge(record, now);
+				unsettled.delete(incarnationId);
+				const entry = record && evaluateCrash(record, now);
 				if (entry) {
 					found.push(entry);
 				}
--- a/src/quarantine/crash-log.ts
+++ b/src/quarantine/crash-log.ts
@@ -3,41 +3,41 @@
 import type {QuarantineEntry} from './quarantine-entry.ts';
 
 /**
-Writes crashes of backend servers, and what is concluded from them, to the log.
+Logs crashes of backend servers and the quarantine decisions that follow from them.
 */
 export type CrashLog = {
 	crashed(crash: Crash, now: number): void;
 	/**
-	A request was put in quarantine.
+	Logs that a request was put in quarantine.
 
-	@param from Id of the node that concluded it.
+	@param from Id of the node that decided it.
 	*/
 	quarantined(entry: QuarantineEntry, from: string, now: number): void;
 	/**
-	A request that was at crashes was answered whole.
+	Logs that a request that was in flight at crashes received a complete answer.
 	*/
 	cleared(fingerprint: string, now: number): void;
 	/**
-	Lives of servers that this node saw crash since it started.
+	Number of server incarnations that this node saw crash since it started.
 	*/
 	crashesSeen(): number;
 };
 
 /**
-Lines in a second at the most: a zone that loses power takes dozens of servers.
+Maximum number of log lines per second, because a zone that loses power takes down dozens of servers.
 */
 export const crashLinesPerSecond = 10;
 
 /**
-Fingerprints in one line at the most.
+Maximum number of fingerprints in one log line.
 */
 export const maximumFingerprintsPerLine = 24;
 
 const secondMs = 1000;
 
 /**
-Builds a log that has written nothing. A line names the fingerprints of the requests that were under way, so that one
-that was at several servers when they crashed is found by searching for it, at whatever node it was.
+Creates a crash log. A line contains the fingerprints of the requests in flight, so that a search of the logs of all nodes
+finds a request that was at several servers when they crashed.
 */
 export const createCrashLog = (logger: Logger): CrashLog => {
 	let linesLeft = crashLinesPerSecond;
@@ -65,7 +65,7 @@
 
 	return {
 		crashed({incarnationId, at, runs}, now) {
-			// What is seen of one crash comes in parts.
+			// One crash may be reported in several parts.
 			crashesSeen += incarnationId === latest ? 0 : 1;
 			latest = incarnationId;
 			const facts = {
--- a/src/quarantine/crash-records.ts
+++ b/src/quarantine/crash-records.ts
@@ -6,46 +6,46 @@
 export const crashRetentionMs = 1_800_000;
 
 /**
-Crashes that are remembered at the most; the oldest gives way. With all the requests that each may name they take about
-a megabyte.
+Maximum number of crashes remembered; the oldest is evicted first. With the maximum number of requests per crash, they
+take about a megabyte.
 */
 export const maximumCrashes = 128;
 
 /**
-What all nodes told of one crash.
+One crash, combined from the reports of all nodes.
 */
 export type CrashRecord = {
 	readonly at: number;
 	readonly receivedAt: number;
 	/**
-	By fingerprint, when it was sent to the server.
+	The time at which each request was sent to the server, by fingerprint.
 	*/
 	readonly runs: Map<string, number>;
 };
 
 /**
-The latest crashes, and which requests were at them.
+The latest crashes, and the requests that were in flight at each.
 */
 export type CrashRecords = {
 	/**
-	Takes in what a node saw of a crash; returns whether that is news.
+	Adds a node's report of a crash; returns whether it contains a new request.
 	*/
 	add(crash: Crash, now: number): boolean;
-	of(life: string): CrashRecord | undefined;
+	of(incarnationId: string): CrashRecord | undefined;
 	/**
-	Lives of servers that ended while a request was there.
+	The incarnations of servers that crashed while a request was in flight there.
 	*/
 	incarnationIdsOf(fingerprint: string): ReadonlySet<string>;
 	/**
-	Takes a request off all crashes; returns whether it was at one.
+	Removes a request from all crashes; returns whether it was in flight at one.
 	*/
 	clear(fingerprint: string): boolean;
 	/**
-	Forgets what is too old; called at each tick.
+	Removes crashes whose retention time is over; called at each tick.
 	*/
 	dropOld(now: number): void;
 	/**
-	Requests that were at a crash.
+	Number of requests that were in flight at a crash.
 	*/
 	size(): number;
 };
@@ -53,19 +53,19 @@
 const none: ReadonlySet<string> = new Set();
 
 /**
-Builds records without a crash.
+Creates empty records.
 */
 export const createCrashRecords = (): CrashRecords => {
-	// In the order in which they were first heard of.
+	// In the order of the first report of each.
 	const crashes = new Map<string, CrashRecord>();
-	const livesByRun = new Map<string, Set<string>>();
+	const incarnationIdsByFingerprint = new Map<string, Set<string>>();
 
-	const forget = (incarnationId: string) => {
+	const remove = (incarnationId: string) => {
 		for (const fingerprint of crashes.get(incarnationId)?.runs.keys() ?? []) {
-			const lives = livesByRun.get(fingerprint);
-			lives?.delete(incarnationId);
-			if (lives?.size === 0) {
-				livesByRun.delete(fingerprint);
+			const incarnationIds = incarnationIdsByFingerprint.get(fingerprint);
+			incarnationIds?.delete(incarnationId);
+			if (incarnationIds?.size === 0) {
+				incarnationIdsByFingerprint.delete(fingerprint);
 			}
 		}
 
@@ -79,7 +79,7 @@
 		}
 
 		if (crashes.size >= maximumCrashes) {
-			forget(crashes.keys().next().value!);
+			remove(crashes.keys().next().value!);
 		}
 
 		const record = {at, receivedAt: now, runs: new Map<string, number>()};
@@ -87,36 +87,45 @@
 		return record;
 	};
 
-	// Where a server had more under way than is remembered, what was at another crash as well goes before the rest.
-	const hasPlaceFor = ({runs}: CrashRecord, fingerprint: string): boolean =>
+	// If a server had more requests in flight than are remembered, requests that were at another crash as well take
+	// precedence over the others.
+	const hasCapacityFor = ({runs}: CrashRecord, fingerprint: string): boolean =>
 		runs.size < maximumRunsPerCrash ||
-		(runs.size < maximumRunsPerCrash * 2 && livesByRun.has(fingerprint));
+		(runs.size < maximumRunsPerCrash * 2 &&
+			incarnationIdsByFingerprint.has(fingerprint));
 
 	return {
 		add(crash, now) {
 			const record = recordOf(crash, now);
-			let isNews = false;
+			let isNew = false;
 			for (const {fingerprint, sentAt} of crash.runs) {
-				if (!hasPlaceFor(record, fingerprint)) {
+				if (!hasCapacityFor(record, fingerprint)) {
 					continue;
 				}
 
-				isNews ||= !record.runs.has(fingerprint);
+				isNew ||= !record.runs.has(fingerprint);
 				record.runs.set(fingerprint, sentAt);
-				const lives = livesByRun.get(fingerprint) ?? new Set();
-				livesByRun.set(fingerprint, lives.add(crash.incarnationId));
+				const incarnationIds =
+					incarnationIdsByFingerprint.get(fingerprint) ?? new Set();
+				incarnationIdsByFingerprint.set(
+					fingerprint,
+					incarnationIds.add(crash.incarnationId),
+				);
 			}
 
-			return isNews;
+			return isNew;
 		},
 		of: (incarnationId) => crashes.get(incarnationId),
-		incarnationIdsOf: (fingerprint) => livesByRun.get(fingerprint) ?? none,
+		incarnationIdsOf: (fingerprint) =>
+			incarnationIdsByFingerprint.get(fingerprint) ?? none,
 		clear(fingerprint) {
-			for (const incarnationId of livesByRun.get(fingerprint) ?? none) {
+			for (const incarnationId of incarnationIdsByFingerprint.get(
+				fingerprint,
+			) ?? none) {
 				crashes.get(incarnationId)?.runs.delete(fingerprint);
 			}
 
-			return livesByRun.delete(fingerprint);
+			return incarnationIdsByFingerprint.delete(fingerprint);
 		},
 		dropOld(now) {
 			for (const [incarnationId, {receivedAt}] of crashes) {
@@ -124,9 +133,9 @@
 					return;
 				}
 
-				forget(incarnationId);
+				remove(incarnationId);
 			}
 		},
-		size: () => livesByRun.size,
+		size: () => incarnationIdsByFingerprint.size,
 	};
 };
--- a/src/quarantine/crash-watch.ts
+++ b/src/quarantine/crash-watch.ts
@@ -1,12 +1,12 @@
 import {maximumRunsPerCrash, type Crash} from './crash.ts';
 
 /**
-A request whose connection to a backend server ended without a whole answer.
+A request whose connection to a backend server ended without a complete answer.
 */
 export type BrokenRun = {
 	readonly server: string;
 	/**
-	Names the life of the server that it was sent to.
+	Identifies the incarnation of the server to which the request was sent.
 	*/
 	readonly incarnationId: string;
 	readonly fingerprint: string;
@@ -14,82 +14,82 @@
 };
 
 /**
-Tells the crash of a backend server from a connection that broke alone.
+Distinguishes the crash of a backend server from a single broken connection.
 
-A broken connection proves little: servers close idle ones, break single answers off, and links reset. A server has
-crashed where nobody listens at its address any more, or where its entry goes or names a later start.
+A broken connection proves little: servers close idle connections, abort single answers, and links reset. A server has
+crashed if it no longer accepts connections at its address, or if its entry is removed or states a later start.
 */
 export type CrashWatch = {
 	connectionBroken(run: BrokenRun, now: number): void;
 	/**
-	Nobody listens at the server's address.
+	Records that nothing listens at the server's address.
 	*/
-	connectionRefused(life: string, now: number): void;
+	connectionRefused(incarnationId: string, now: number): void;
 	/**
-	The server lives, or its end was planned.
+	Records that the server is alive, or that its end was planned.
 	*/
-	crashRuledOut(life: string): void;
+	crashRuledOut(incarnationId: string): void;
 	/**
-	The server's entry has gone, or names a later start, without a word of its leaving.
+	Records that the server's entry was removed, or states a later start, without an announced shutdown.
 	*/
-	entryRemoved(life: string): void;
+	entryRemoved(incarnationId: string): void;
 	/**
-	Forgets what is too old to prove anything; called at each tick.
+	Removes broken connections that are too old to count as evidence; called at each tick.
 	*/
 	tick(now: number): void;
 };
 
 /**
-What a watch is built from.
+The callbacks of a crash watch.
 */
 export type CrashWatchOptions = {
 	/**
-	Asks a server whether it lives; `refused` or `acquitted` may follow.
+	Probes whether a server is alive; `connectionRefused` or `crashRuledOut` may be called as a result.
 	*/
-	readonly probe: (server: string, life: string) => void;
+	readonly probe: (server: string, incarnationId: string) => void;
 	/**
-	Told of each crash, and again of requests whose connections are seen to break later.
+	Called for each crash, and again for requests whose connections break later.
 	*/
 	readonly onCrash: (crash: Crash) => void;
 };
 
 /**
-How long after a connection broke a sign of the server's end counts for it, in milliseconds. The entry of a server
-that says nothing any more goes after some four seconds.
+How long after a broken connection a sign of the server's end still counts as evidence of a crash, in milliseconds. The
+entry of an unresponsive server is removed after some four seconds.
 */
 export const crashEvidenceWindowMs = 6000;
 
 /**
-Pause between two questions to one server, in milliseconds: servers that break single answers off break many.
+Minimum interval between two probes of one server, in milliseconds, because servers that abort single answers abort many.
 */
 export const crashProbeIntervalMs = 500;
 
 /**
-Lives of servers that are watched at once at the most; the oldest gives way.
+Maximum number of server incarnations watched at once; the oldest is evicted first.
 */
 export const maximumWatchedIncarnations = 256;
 
 type Watched = {
 	readonly since: number;
-	askedAt: number;
+	probedAt: number;
 	isCrash: boolean;
 	/**
-	By fingerprint, when it was sent; emptied when told.
+	The time at which each request was sent, by fingerprint; emptied when the crash is reported.
 	*/
 	runs: Map<string, number>;
 };
 
 /**
-Builds a watch that has seen nothing.
+Creates a crash watch.
 */
 export const createCrashWatch = ({
 	probe,
 	onCrash,
 }: CrashWatchOptions): CrashWatch => {
-	// In the order in which they were first seen.
+	// In the order of the first broken connection of each.
 	const watched = new Map<string, Watched>();
 
-	const watchedOf = (incarnationId: string, now: number): Watched => {
+	const entryOf = (incarnationId: string, now: number): Watched => {
 		const known = watched.get(incarnationId);
 		if (known) {
 			return known;
@@ -101,7 +101,7 @@
 
 		const entry = {
 			since: now,
-			askedAt: -Infinity,
+			probedAt: -Infinity,
 			isCrash: false,
 			runs: new Map<string, number>(),
 		};
@@ -109,7 +109,7 @@
 		return entry;
 	};
 
-	const tell = (incarnationId: string, entry: Watched) => {
+	const report = (incarnationId: string, entry: Watched) => {
 		entry.isCrash = true;
 		if (entry.runs.size === 0) {
 			return;
@@ -125,20 +125,20 @@
 
 	return {
 		connectionBroken({server, incarnationId, fingerprint, sentAt}, now) {
-			const entry = watchedOf(incarnationId, now);
+			const entry = entryOf(incarnationId, now);
 			if (entry.runs.size < maximumRunsPerCrash) {
 				entry.runs.set(fingerprint, sentAt);
 			}
 
 			if (entry.isCrash) {
-				tell(incarnationId, entry);
-			} else if (now - entry.askedAt >= crashProbeIntervalMs) {
-				entry.askedAt = now;
+				report(incarnationId, entry);
+			} else if (now - entry.probedAt >= crashProbeIntervalMs) {
+				entry.probedAt = now;
 				probe(server, incarnationId);
 			}
 		},
 		connectionRefused(incarnationId, now) {
-			tell(incarnationId, watchedOf(incarnationId, now));
+			report(incarnationId, entryOf(incarnationId, now));
 		},
 		crashRuledOut(incarnationId) {
 			if (watched.get(incarnationId)?.isCrash === false) {
@@ -148,7 +148,7 @@
 		entryRemoved(incarnationId) {
 			const entry = watched.get(incarnationId);
 			if (entry) {
-				tell(incarnationId, entry);
+				report(incarnationId, entry);
 			}
 		},
 		tick(now) {
--- a/src/quarantine/quarantine-entry.ts
+++ b/src/quarantine/quarantine-entry.ts
@@ -1,37 +1,37 @@
 /**
-A request that is sent to no backend server, because servers crashed each time that they ran it.
+A request that is not sent to any backend server, because servers crashed each time they ran it.
 */
 export type QuarantineEntry = {
 	readonly fingerprint: string;
 	/**
-	Until when, on this node's clock in milliseconds.
+	End of the quarantine, on this node's clock in milliseconds.
 	*/
 	readonly until: number;
 	/**
-	How many times it was put in quarantine, from 1 on.
+	How many times the request was put in quarantine, starting at 1.
 	*/
 	readonly level: number;
 };
 
 /**
-How long a first quarantine lasts, in milliseconds: long against the spells in which callers come back, and short enough
-for an operator to see what a new version of the servers makes of the request.
+Duration of a first quarantine, in milliseconds. It is longer than the periods in which callers retry, and short enough
+for an operator to see how a new version of the servers handles the request.
 */
 export const firstQuarantineMs = 600_000;
 
 /**
-How long a quarantine lasts at the most, in milliseconds; each one lasts twice as long as the one before, so that a request
-that is never mended costs a crash in four hours.
+Maximum duration of a quarantine, in milliseconds. Each quarantine lasts twice as long as the previous one, so that a
+request that keeps crashing servers costs one crash in four hours.
 */
 export const longestQuarantineMs = 14_400_000;
 
 /**
-How long after a quarantine one more crash is enough for the next, in milliseconds.
+How long after a quarantine one more crash is enough for the next quarantine, in milliseconds.
 */
 export const probationMs = 14_400_000;
 
 /**
-The length of the quarantine of a level.
+The duration of a quarantine at a level, in milliseconds.
 */
 export const quarantineMs = (level: number): number =>
 	Math.min(longestQuarantineMs, firstQuarantineMs * 2 ** (level - 1));
--- a/src/quarantine/quarantine-list.ts
+++ b/src/quarantine/quarantine-list.ts
@@ -5,53 +5,54 @@
 } from './quarantine-entry.ts';
 
 /**
-The requests in quarantine, and those that lately were.
+The requests that are, or recently were, in quarantine.
 */
 export type QuarantineList = {
 	/**
-	Puts a request in quarantine, for longer than the last time; undefined where it is in quarantine.
+	Puts a request in quarantine, for longer than the last time; returns undefined if it already is in quarantine.
 	*/
 	add(fingerprint: string, now: number): QuarantineEntry | undefined;
 	/**
-	Takes in what another node has; returns whether it is news.
+	Merges an entry of another node; returns whether it newly puts the request in quarantine.
 	*/
 	merge(entry: QuarantineEntry, now: number): boolean;
 	/**
-	Returns whether it was there.
+	Removes a request; returns whether it was listed.
 	*/
 	remove(fingerprint: string): boolean;
 	/**
-	Until when a request is in quarantine; undefined where it is not.
+	When the quarantine of a request ends; undefined if it is not in quarantine.
 	*/
 	until(fingerprint: string, now: number): number | undefined;
 	/**
-	Whether a request is, or lately was, in quarantine.
+	Whether a request is, or recently was, in quarantine.
 	*/
 	isListed(fingerprint: string): boolean;
 	/**
-	Crashes that count against a request beforehand: one that was in quarantine goes back after one more.
+	Number of crashes that count against a request in advance: a request that was in quarantine returns there after one
+	more crash.
 	*/
 	priorCrashes(fingerprint: string): number;
 	entries(now: number): readonly QuarantineEntry[];
 	isEmpty(): boolean;
 	/**
-	Forgets what was over long ago; called at each tick.
+	Removes entries whose probation is over; called at each tick.
 	*/
 	tick(now: number): void;
 };
 
 /**
-Requests that are listed at the most; the one whose quarantine ends first gives way.
+Maximum number of requests listed; the one whose quarantine ends first is evicted.
 */
 export const maximumListed = 512;
 
-const owedAfterQuarantine = 2;
+const crashesAfterQuarantine = 2;
 
-// Nodes reckon the end of one quarantine a little differently.
-const sameEndMs = 2000;
+// Nodes compute slightly different end times for the same quarantine.
+const endToleranceMs = 2000;
 
 /**
-Builds an empty list.
+Creates an empty list.
 */
 export const createQuarantineList = (): QuarantineList => {
 	const listed = new Map<string, QuarantineEntry>();
@@ -86,10 +87,11 @@
 		},
 		merge(entry, now) {
 			const known = listed.get(entry.fingerprint);
-			const isNews =
+			const isNewer =
 				!known ||
-				(entry.level >= known.level && entry.until > known.until + sameEndMs);
-			if (!isNews) {
+				(entry.level >= known.level &&
+					entry.until > known.until + endToleranceMs);
+			if (!isNewer) {
 				return false;
 			}
 
@@ -104,7 +106,7 @@
 		},
 		isListed: (fingerprint) => listed.has(fingerprint),
 		priorCrashes: (fingerprint) =>
-			listed.has(fingerprint) ? owedAfterQuarantine : 0,
+			listed.has(fingerprint) ? crashesAfterQuarantine : 0,
 		entries: (now) =>
 			listed
 				.values()
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -13,27 +13,27 @@
 import {longestQuarantineMs, type QuarantineEntry} from './quarantine-entry.ts';
 
 /**
-Keeps requests that crash the servers which run them away from all servers, together with the other nodes.
+Keeps requests that crash servers away from all servers, together with the other nodes.
 */
 export type Quarantine = Omit<CrashWatch, 'tick'> & {
 	/**
-	What is known against a request; its fingerprint is only asked for where anything is known against any.
+	The quarantine status of a request. The fingerprint is computed only if any request is suspected or listed.
 	*/
 	status(fingerprint: () => string, now: number): QuarantineStatus;
 	/**
-	A request was answered whole.
+	Clears a request that received a complete answer.
 	*/
 	served(fingerprint: () => string): void;
 	/**
-	Takes in what another node tells.
+	Handles a message of another node.
 	*/
 	receive(message: QuarantineMessage, now: number): void;
 	/**
-	Finds requests out and tells other nodes; called at each tick.
+	Evaluates crashes and sends the results to other nodes; called at each tick.
 	*/
 	tick(now: number): void;
 	/**
-	For metrics: crashes of servers that this node saw, requests that were at one, and requests in quarantine.
+	For metrics: crashes of servers that this node saw, requests that were in flight at a crash, and requests in quarantine.
 	*/
 	crashesSeen(): number;
 	suspects(): number;
@@ -41,12 +41,12 @@
 };
 
 /**
-What a quarantine is built from.
+The dependencies and callbacks of a quarantine.
 */
 export type QuarantineOptions = {
 	readonly self: string;
 	/**
-	The other nodes that can be told; replaced when they change.
+	The other nodes that can receive messages; a new list whenever they change.
 	*/
 	readonly usable: () => readonly Member[];
 	readonly send: (
@@ -54,11 +54,11 @@
 		message: QuarantineMessage,
 	) => void;
 	/**
-	Asks a backend server whether it lives its life still.
+	Probes whether an incarnation of a backend server is still alive.
 	*/
-	readonly probe: (server: string, life: string) => void;
+	readonly probe: (server: string, incarnationId: string) => void;
 	/**
-	Told of each request that is put in quarantine, here or by another node.
+	Called for each request that is put in quarantine, by this node or another one.
 	*/
 	readonly onQuarantined: (fingerprint: string) => void;
 	readonly random: Random;
@@ -73,20 +73,20 @@
 export const quarantineGossipMs = 1000;
 
 /**
-Requests in quarantine that one reminder names at the most; the others follow in turn.
+Maximum number of quarantine entries in one gossip message; the other entries follow in later messages.
 */
 export const maximumGossipEntries = 30;
 
 /**
-Requests at crashed servers that are told at one tick at the most. A zone that loses power takes dozens of servers, and none
-of its requests is to blame.
+Maximum number of requests at crashed servers that are sent to other nodes per tick. A zone that loses power takes down
+dozens of servers, and none of their requests is to blame.
 */
 export const maximumRunsPerTick = 200;
 
 const clear: QuarantineStatus = {kind: 'clear'};
 
 /**
-Builds a quarantine without an entry.
+Creates an empty quarantine.
 */
 export const createQuarantine = ({
 	self,
@@ -102,10 +102,10 @@
 	const ledger = createCrashLedger();
 	const log = createCrashLog(logger);
 	const isOff = without.has('quarantine');
-	let unsaid: Crash[] = [];
-	let remindAt = 0;
-	let reminded = 0;
-	let told: readonly Member[] = [];
+	let unsentCrashes: Crash[] = [];
+	let nextGossipAt = 0;
+	let gossipOffset = 0;
+	let previousMembers: readonly Member[] = [];
 
 	const watch = createCrashWatch({
 		probe,
@@ -117,13 +117,13 @@
 			}
 
 			ledger.addCrash(crash, now);
-			unsaid.push(crash);
+			unsentCrashes.push(crash);
 		},
 	});
 
-	const tellCrashes = (now: number) => {
-		const runs = unsaid.flatMap((crash) => toldRuns(crash, now));
-		unsaid = [];
+	const sendCrashes = (now: number) => {
+		const runs = unsentCrashes.flatMap((crash) => crashUpdatesOf(crash, now));
+		unsentCrashes = [];
 		if (runs.length === 0) {
 			return;
 		}
@@ -132,7 +132,7 @@
 		send(usable(), {kind: 'crashes', from: self, runs: some});
 	};
 
-	const tellEntries = (
+	const sendEntries = (
 		members: readonly Member[],
 		entries: readonly QuarantineEntry[],
 		now: number,
@@ -152,41 +152,47 @@
 		});
 	};
 
-	const remind = (now: number) => {
+	const gossip = (now: number) => {
 		const members = usable();
 		const entries = ledger.entries(now);
-		if (now < remindAt || members.length === 0 || entries.length === 0) {
+		if (now < nextGossipAt || members.length === 0 || entries.length === 0) {
 			return;
 		}
 
-		remindAt = now + quarantineGossipMs;
-		const first = reminded % entries.length;
-		reminded = first + maximumGossipEntries;
+		nextGossipAt = now + quarantineGossipMs;
+		const first = gossipOffset % entries.length;
+		gossipOffset = first + maximumGossipEntries;
 		const some = entries.slice(first, first + maximumGossipEntries);
-		tellEntries([members[random.below(members.length)]!], some, now);
+		sendEntries([members[random.below(members.length)]!], some, now);
 	};
 
-	// Members that have started, or returned from a partition, are told at once.
-	const tellNewcomers = (now: number) => {
+	// Members that have started, or returned from a partition, receive the entries at once.
+	const sendToNewcomers = (now: number) => {
 		const members = usable();
-		if (members === told) {
+		if (members === previousMembers) {
 			return;
 		}
 
-		const known = new Set(told.map((member) => memberLife(member)));
-		told = members;
+		const known = new Set(
+			previousMembers.map((member) => memberIncarnationId(member)),
+		);
+		previousMembers = members;
 		const newcomers = members.filter(
-			(member) => !known.has(memberLife(member)),
+			(member) => !known.has(memberIncarnationId(member)),
 		);
-		tellEntries(newcomers, ledger.entries(now), now);
+		sendEntries(newcomers, ledger.entries(now), now);
 	};
 
-	const found = (entry: QuarantineEntry, from: string, now: number) => {
+	const recordQuarantined = (
+		entry: QuarantineEntry,
+		from: string,
+		now: number,
+	) => {
 		log.quarantined(entry, from, now);
 		onQuarantined(entry.fingerprint);
 	};
 
-	const hearEntries = (
+	const receiveEntries = (
 		{entries, from}: Extract<QuarantineMessage, {readonly kind: 'quarantine'}>,
 		now: number,
 	) => {
@@ -194,7 +200,7 @@
 			const until = now + Math.min(leftMs, longestQuarantineMs);
 			const entry = {fingerprint, until, level};
 			if (ledger.mergeEntry(entry, now)) {
-				found(entry, from, now);
+				recordQuarantined(entry, from, now);
 			}
 		}
 	};
@@ -220,14 +226,14 @@
 			switch (message.kind) {
 				case 'crashes': {
 					for (const run of message.runs) {
-						ledger.addCrash(heardCrash(run, now), now);
+						ledger.addCrash(crashOf(run, now), now);
 					}
 
 					return;
 				}
 
 				case 'quarantine': {
-					hearEntries(message, now);
+					receiveEntries(message, now);
 					return;
 				}
 
@@ -240,15 +246,15 @@
 		},
 		tick(now) {
 			watch.tick(now);
-			tellCrashes(now);
+			sendCrashes(now);
 			const entries = ledger.evaluate(now);
-			tellEntries(usable(), entries, now);
+			sendEntries(usable(), entries, now);
 			for (const entry of entries) {
-				found(entry, self, now);
+				recordQuarantined(entry, self, now);
 			}
 
-			tellNewcomers(now);
-			remind(now);
+			sendToNewcomers(now);
+			gossip(now);
 		},
 		crashesSeen: log.crashesSeen,
 		suspects: ledger.suspects,
@@ -256,10 +262,10 @@
 	};
 };
 
-const memberLife = ({id, incarnation}: Member): string =>
+const memberIncarnationId = ({id, incarnation}: Member): string =>
 	`${id} ${incarnation}`;
 
-const toldRuns = (
+const crashUpdatesOf = (
 	{incarnationId, at, runs}: Crash,
 	now: number,
 ): readonly CrashUpdate[] =>
@@ -270,7 +276,7 @@
 		sentAgoMs: now - sentAt,
 	}));
 
-const heardCrash = (
+const crashOf = (
 	{incarnationId, agoMs, fingerprint, sentAgoMs}: CrashUpdate,
 	now: number,
 ): Crash => ({
--- a/src/quarantine/request-fingerprint.ts
+++ b/src/quarantine/request-fingerprint.ts
@@ -2,7 +2,7 @@
 import type {Buffer} from 'node:buffer';
 
 /**
-What makes two requests the same, whatever their ids, their connections and the nodes that they come to.
+The parts of a request that identify it, independent of its id, its connection and the node that receives it.
 */
 export type FingerprintedRequest = {
 	readonly method: string;
@@ -12,20 +12,20 @@
 	*/
 	readonly target: string;
 	/**
-	Name of the client account; undefined where callers need no key.
+	Name of the client account; undefined if callers need no key.
 	*/
 	readonly client: string | undefined;
 	readonly body: Buffer | undefined;
 };
 
 /**
-Hexadecimal digits of a fingerprint: with the few thousand that are ever compared, two requests have the same one
-by chance once in some trillions.
+Hexadecimal digits of a fingerprint. Among the few thousand fingerprints that are ever compared, the chance that two
+requests share one is one in some trillions.
 */
 export const fingerprintDigits = 16;
 
 /**
-A digest of what a request asks for. Neither a key nor a part of the body can be read from it, so it may be logged.
+A digest of the content of a request. It reveals neither a key nor any part of the body, so it may be logged.
 */
 export const fingerprintOf = ({
 	method,
--- a/tests/quarantine/crash-model.test.ts
+++ b/tests/quarantine/crash-model.test.ts
@@ -2,8 +2,8 @@
 import {createCrashLedger} from '../../src/quarantine/index.ts';
 import {simulateCrashes, type CrashScenario} from './crash-model.ts';
 
-// What is borne later than five seconds after the third crash of a request, over all nodes.
-const borneSends = 3;
+// Maximum number of sends later than five seconds after the third crash of a request, over all nodes.
+const maximumLateSends = 3;
 
 const plan: Omit<CrashScenario, 'seed'> = {
 	createRule: () => createCrashLedger(),
@@ -21,15 +21,18 @@
 
 const seeds = [1, 2, 3, 4, 5, 6, 7, 8];
 
-test('a request that crashes servers is found out, and none that shared them is refused', (t: TestContext) => {
+test('a request that crashes servers is put in quarantine, and no request that shared them is refused', (t: TestContext) => {
 	for (const seed of seeds) {
 		const {lateSends, refused} = simulateCrashes({...plan, seed});
-		t.assert.ok(lateSends <= borneSends, `seed ${seed}: ${lateSends} late`);
+		t.assert.ok(
+			lateSends <= maximumLateSends,
+			`seed ${seed}: ${lateSends} late`,
+		);
 		t.assert.strictEqual(refused, 0, `seed ${seed}`);
 	}
 });
 
-test('a loss of power refuses nobody', (t: TestContext) => {
+test('a power loss causes no refusals', (t: TestContext) => {
 	for (const seed of seeds) {
 		const {refused, crashes} = simulateCrashes({
 			...plan,
@@ -43,7 +46,7 @@
 	}
 });
 
-test('the model itself: with nothing remembered servers crash on and on', (t: TestContext) => {
+test('the model itself: without a ledger, servers keep crashing', (t: TestContext) => {
 	const {lateSends} = simulateCrashes({
 		...plan,
 		seed: 1,
@@ -54,5 +57,5 @@
 			status: () => ({kind: 'clear'}),
 		}),
 	});
-	t.assert.ok(lateSends > borneSends);
+	t.assert.ok(lateSends > maximumLateSends);
 });
--- a/tests/quarantine/crash-model.ts
+++ b/tests/quarantine/crash-model.ts
@@ -3,7 +3,7 @@
 import {createRandom} from '../../src/shared/index.ts';
 
 /**
-What a node decides by.
+The part of the ledger by which a node decides.
 */
 export type CrashRule = Pick<
 	CrashLedger,
@@ -11,7 +11,7 @@
 >;
 
 /**
-What is played.
+The parameters of a simulation.
 */
 export type CrashScenario = {
 	readonly seed: number;
@@ -19,42 +19,42 @@
 	readonly nodes: number;
 	readonly servers: number;
 	/**
-	Requests a second that crash nothing, and how long they run at the most, in milliseconds.
+	Harmless requests per second, and their maximum duration, in milliseconds.
 	*/
 	readonly perSecond: number;
 	readonly longestRunMs: number;
 	/**
-	Requests that crash servers, and milliseconds between two tries of one of them.
+	Number of requests that crash servers, and the mean interval between two attempts of one of them, in milliseconds.
 	*/
 	readonly fatal: number;
 	readonly fatalEveryMs: number;
 	readonly maximumAttempts: number;
 	/**
-	Crashes from which on a suspect is tried at a server without other suspects of its node, and waits for one.
+	Number of crashes from which on a suspect is sent only to a server without other suspects of its node, and waits for one.
 	*/
 	readonly isolatedFrom: number;
 	/**
-	How long it waits for one at the most, in milliseconds.
+	Maximum time for which a suspect waits for such a server, in milliseconds.
 	*/
 	readonly maximumIsolationWaitMs: number;
 	/**
-	When all servers of a zone, a third of them, lose power; no request is at fault.
+	When all servers of a zone, a third of the servers, lose power, without the fault of any request.
 	*/
 	readonly powerLossAt?: number;
 	readonly spanMs: number;
 };
 
 /**
-What came of it.
+The result of a simulation.
 */
 export type CrashResult = {
 	readonly crashes: number;
 	/**
-	Sends of fatal requests later than `tellingMs` after their third crash, the most of any of them.
+	Maximum number of sends of one fatal request later than `reportDeadlineMs` after its third crash.
 	*/
 	readonly lateSends: number;
 	/**
-	Requests that crash nothing: how many there were, were refused for crashes, and were lost to one.
+	Harmless requests: the total, those refused because of crashes, and those lost to a crash.
 	*/
 	readonly others: number;
 	readonly refused: number;
@@ -62,7 +62,7 @@
 };
 
 /**
-How long nodes have to tell each other of a third crash, in milliseconds.
+Time within which nodes must have reported a third crash to each other, in milliseconds.
 */
 export const reportDeadlineMs = 5000;
 
@@ -82,29 +82,28 @@
 	readonly sentAt: number;
 };
 
-type Server = {life: number; isUp: boolean; runs: Set<Run>};
+type Server = {incarnation: number; isUp: boolean; runs: Set<Run>};
 
 type Event = {readonly at: number; readonly run: () => void};
 
-// A server that crashed is back after so long, as it was in the spells that were seen.
+// Time after which a crashed server is back, as observed in operation.
 const downMs = 2500;
 const tickMs = 150;
 const nearDelayMs = 5;
 const farDelayMs = 80;
 const waitMs = 100;
 const lifetimeMs = 4000;
-const firstTryAgainMs = 300;
+const callerRetryMs = 300;
 
 /**
-Plays nodes, servers and callers without a network; what nodes tell each other takes 5 to 80 ms, and one message in fifty
-is lost.
+Simulates nodes, servers and callers without a network. Messages between nodes take 5 to 80 ms, and one in fifty is lost.
 */
 export const simulateCrashes = (plan: CrashScenario): CrashResult => {
 	const random = createRandom(plan.seed);
 	const queue = new TinyQueue<Event>([], (left, right) => left.at - right.at);
 	const rules = Array.from({length: plan.nodes}, plan.createRule);
 	const servers: Server[] = Array.from({length: plan.servers}, () => ({
-		life: 0,
+		incarnation: 0,
 		isUp: true,
 		runs: new Set(),
 	}));
@@ -130,7 +129,7 @@
 				.map(({request}) => crashesOf(request, node)),
 		);
 
-	// A trial is alone among the suspects of its node: it keeps others away, and waits for a server that has none.
+	// An isolated suspect is the only suspect of its node at a server: it excludes others, and waits for a server without any.
 	const choose = (request: Request, node: number): Server | undefined => {
 		const crashes = crashesOf(request, node);
 		const fit = servers.filter(
@@ -196,13 +195,13 @@
 		request.excluded.add(servers.indexOf(server));
 		server.runs.add(run);
 		noteSend(request);
-		const {life} = server;
+		const {incarnation} = server;
 		after(
 			request.isFatal
 				? random.fraction() * 100
 				: random.fraction() * plan.longestRunMs,
 			() => {
-				if (server.life !== life || !server.runs.has(run)) {
+				if (server.incarnation !== incarnation || !server.runs.has(run)) {
 					return;
 				}
 
@@ -224,11 +223,11 @@
 	};
 
 	const crash = (server: Server) => {
-		const incarnationId = `${servers.indexOf(server)} ${server.life}`;
+		const incarnationId = `${servers.indexOf(server)} ${server.incarnation}`;
 		const runs = [...server.runs];
 		server.runs = new Set();
 		server.isUp = false;
-		server.life += 1;
+		server.incarnation += 1;
 		result.crashes += 1;
 		after(downMs, () => {
 			server.isUp = true;
@@ -240,16 +239,20 @@
 
 		for (const [node, seen] of Map.groupBy(runs, (run) => run.node)) {
 			after(nearDelayMs, () => {
-				tell(node, incarnationId, seen);
+				report(node, incarnationId, seen);
 			});
 			for (const run of seen) {
-				goOn(run);
+				retry(run);
 			}
 		}
 	};
 
-	// A node tells at its next tick what it saw itself; it knows at once.
-	const tell = (node: number, incarnationId: string, seen: readonly Run[]) => {
+	// A node applies its own report at once and sends it to the other nodes at its next tick.
+	const report = (
+		node: number,
+		incarnationId: string,
+		seen: readonly Run[],
+	) => {
 		const at = now - nearDelayMs;
 		const crashOf = (offset: number): Crash => ({
 			incarnationId,
@@ -260,7 +263,7 @@
 			})),
 		});
 		rules[node]!.addCrash(crashOf(0), now);
-		const toldAfter = random.fraction() * tickMs;
+		const sendDelay = random.fraction() * tickMs;
 		for (const [other, rule] of rules.entries()) {
 			if (other === node || random.fraction() < 0.02) {
 				continue;
@@ -268,17 +271,17 @@
 
 			const delay =
 				nearDelayMs + random.fraction() * (farDelayMs - nearDelayMs);
-			hearLater(rule, crashOf(delay), toldAfter + delay);
+			reportLater(rule, crashOf(delay), sendDelay + delay);
 		}
 	};
 
-	const hearLater = (rule: CrashRule, told: Crash, ms: number) => {
+	const reportLater = (rule: CrashRule, crashReport: Crash, ms: number) => {
 		after(ms, () => {
-			rule.addCrash(told, now);
+			rule.addCrash(crashReport, now);
 		});
 	};
 
-	const goOn = ({request, node}: Run) => {
+	const retry = ({request, node}: Run) => {
 		if (request.attempts < plan.maximumAttempts) {
 			send(request, node);
 			return;
@@ -292,7 +295,7 @@
 		request.callerTries += 1;
 		request.attempts = 0;
 		request.excluded = new Set();
-		after(firstTryAgainMs * random.fraction(), () => {
+		after(callerRetryMs * random.fraction(), () => {
 			send(request, random.below(plan.nodes));
 		});
 	};
--- a/tests/quarantine/crash-watch.test.ts
+++ b/tests/quarantine/crash-watch.test.ts
@@ -9,11 +9,11 @@
 } from '../../src/quarantine/index.ts';
 
 const setUp = () => {
-	const asked: string[] = [];
+	const probed: string[] = [];
 	const crashes: Crash[] = [];
 	const watch = createCrashWatch({
 		probe(server) {
-			asked.push(server);
+			probed.push(server);
 		},
 		onCrash(crash) {
 			crashes.push(crash);
@@ -35,22 +35,22 @@
 		);
 	};
 
-	return {watch, broke, asked, crashes};
+	return {watch, broke, probed, crashes};
 };
 
-test('a connection that breaks is no crash, and the server is asked once', () => {
-	const {watch, broke, asked, crashes} = setUp();
+test('a broken connection is not a crash, and the server is probed once', () => {
+	const {watch, broke, probed, crashes} = setUp();
 	broke('a', 100);
 	broke('b', 110);
-	assert.deepEqual(asked, ['engine']);
+	assert.deepEqual(probed, ['engine']);
 	watch.crashRuledOut('engine 1');
 	watch.entryRemoved('engine 1');
 	assert.deepEqual(crashes, []);
 	broke('c', 110 + crashProbeIntervalMs);
-	assert.equal(asked.length, 2);
+	assert.equal(probed.length, 2);
 });
 
-test('where nobody listens any more, all that was under way is told, later breaks too', () => {
+test('a refused connection reports all requests in flight, including those whose connections break later', () => {
 	const {watch, broke, crashes} = setUp();
 	broke('a', 100);
 	broke('b', 110);
@@ -69,7 +69,7 @@
 	);
 });
 
-test('an entry that goes proves the crash of its life, and of no other', () => {
+test('the removal of an entry proves the crash of its incarnation, and of no other', () => {
 	const {watch, broke, crashes} = setUp();
 	broke('a', 100);
 	watch.entryRemoved('engine 0');
@@ -78,7 +78,7 @@
 	assert.equal(crashes.length, 1);
 });
 
-test('an old break proves nothing, and what is remembered is bounded', () => {
+test('an old broken connection proves nothing, and the number of watched incarnations is bounded', () => {
 	const {watch, broke, crashes} = setUp();
 	broke('a', 100);
 	watch.tick(100 + crashEvidenceWindowMs + 1);
--- a/tests/quarantine/quarantine.test.ts
+++ b/tests/quarantine/quarantine.test.ts
@@ -11,10 +11,10 @@
 import {createRandom} from '../../src/shared/index.ts';
 import {memberOf} from '../fixtures.ts';
 
-// Nodes whose messages arrive at once, but for those that are cut off.
+// Nodes whose messages arrive at once, except from and to partitioned nodes.
 const setUp = (count: number) => {
 	let now = 0;
-	const cut = new Set<number>();
+	const partitioned = new Set<number>();
 	const found: string[] = [];
 	const sent: QuarantineMessage[] = [];
 	const members = Array.from({length: count}, (_, index) =>
@@ -29,7 +29,7 @@
 				sent.push(message);
 				for (const to of receivers) {
 					const receiver = members.findIndex(({id}) => id === to.id);
-					if (!cut.has(index) && !cut.has(receiver)) {
+					if (!partitioned.has(index) && !partitioned.has(receiver)) {
 						nodes[receiver]!.receive(message, now);
 					}
 				}
@@ -49,7 +49,7 @@
 		nodes,
 		found,
 		sent,
-		cut,
+		partitioned,
 		pass(ms: number) {
 			now += ms;
 			for (const node of nodes) {
@@ -89,7 +89,7 @@
 	pass(crashReportWindowMs);
 };
 
-test('crashes at three nodes add up, and all nodes know', (t: TestContext) => {
+test('crashes seen by three nodes add up, and all nodes put the request in quarantine', (t: TestContext) => {
 	const world = setUp(4);
 	crashThrice(world);
 	t.assert.deepStrictEqual(
@@ -102,12 +102,12 @@
 	);
 });
 
-test('a node that starts again, or comes back from a cut, hears of it', (t: TestContext) => {
+test('a node that restarts, or returns from a partition, receives the quarantine entries', (t: TestContext) => {
 	const world = setUp(4);
-	world.cut.add(3);
+	world.partitioned.add(3);
 	crashThrice(world);
 	t.assert.strictEqual(world.kind(3, 'fatal'), 'clear');
-	world.cut.delete(3);
+	world.partitioned.delete(3);
 	for (let turn = 0; turn < 5; turn += 1) {
 		world.pass(quarantineGossipMs);
 	}
@@ -118,7 +118,7 @@
 	t.assert.strictEqual(world.kind(1, 'fatal'), 'quarantined');
 });
 
-test('a whole answer anywhere clears it everywhere', (t: TestContext) => {
+test('a complete answer on any node clears the request on all nodes', (t: TestContext) => {
 	const world = setUp(3);
 	world.crash(0, 'life 0', 'unlucky');
 	world.pass(crashReportWindowMs);
@@ -128,14 +128,14 @@
 	t.assert.strictEqual(world.kind(0, 'unlucky'), 'clear');
 });
 
-test('with nothing known no fingerprint is asked for and nothing is told', (t: TestContext) => {
+test('without suspects, no fingerprint is computed and no message is sent', (t: TestContext) => {
 	const {nodes, sent, pass} = setUp(3);
-	const unasked = (): string => {
-		throw new Error('asked for');
+	const unexpectedCall = (): string => {
+		throw new Error('the fingerprint was computed');
 	};
 
-	t.assert.strictEqual(nodes[0]!.status(unasked, 0).kind, 'clear');
-	nodes[0]!.served(unasked);
+	t.assert.strictEqual(nodes[0]!.status(unexpectedCall, 0).kind, 'clear');
+	nodes[0]!.served(unexpectedCall);
 	pass(10 * quarantineGossipMs);
 	t.assert.deepStrictEqual(sent, []);
 });
--- a/tests/quarantine/request-fingerprint.test.ts
+++ b/tests/quarantine/request-fingerprint.test.ts
@@ -21,7 +21,7 @@
 	assert.equal(fingerprintOf(request).length, fingerprintDigits);
 });
 
-test('whatever differs gives another one', () => {
+test('a difference in any part gives another fingerprint', () => {
 	const others = [
 		{method: 'GET'},
 		{host: 'other.example'},
