--- a/src/gateway/client-limit-log.ts
+++ b/src/gateway/client-limit-log.ts
@@ -8,7 +8,7 @@
 	/**
 	An account was let through, or not.
 	*/
-	note(account: string, verdict: SharedVerdict, now: number): void;
+	record(account: string, verdict: SharedVerdict, now: number): void;
 	/**
 	Finds accounts that are not limited any more; called at each tick.
 	*/
@@ -49,7 +49,7 @@
 	};
 
 	return {
-		note(account, {kind}, now) {
+		record(account, {kind}, now) {
 			if (kind === 'admitted') {
 				return;
 			}
--- a/src/gateway/gateway-observer.ts
+++ b/src/gateway/gateway-observer.ts
@@ -270,7 +270,7 @@
 		},
 		admission(account, verdict, now) {
 			admissions.inc({client: account, verdict: verdict.kind});
-			limitLog.note(account, verdict, now);
+			limitLog.record(account, verdict, now);
 		},
 		badStatement(server, {kind, reason}) {
 			badStatements.inc({kind});
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -241,7 +241,7 @@
 				region,
 				availabilityZone,
 			});
-			guide.note(region, named);
+			guide.record(region, named);
 			return named.map(({callerAddress}) => callerAddress);
 		},
 		metrics: observer.metrics,
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -4,8 +4,8 @@
 export {joinIntervalMs, rejoinIntervalMs} from './sharing/index.ts';
 export {
 	assumedNodes,
-	connectionFraction as connectionPart,
-	minimumSharingNodes as minimumSharers,
+	connectionFraction,
+	minimumSharingNodes,
 	settlingMs,
 } from './sharing/index.ts';
 export {freshRoutesMs} from './request-handling.ts';
--- a/src/gateway/intake/bind-client.ts
+++ b/src/gateway/intake/bind-client.ts
@@ -7,23 +7,23 @@
 import type {ReceivedRequest} from './caller-listener.ts';
 
 /**
-A route as it holds for the account of a request.
+A route as it applies to the account of a request.
 */
 export type BoundRoute = Pick<Exchange, 'route' | 'client'>;
 
 /**
-What keys are looked up with.
+State of this node against which client keys are checked.
 */
 export type KeyContext = {
 	readonly names: WireHeaders;
 	/**
-	Whether the routes were confirmed lately, so that a key without an account has none.
+	Whether the routes were confirmed recently. If so, a key without an account is invalid.
 	*/
 	readonly areRoutesFresh: boolean;
 };
 
 /**
-Finds the account by the key and the route as it holds for it.
+Looks up the account by the digest of its key, and applies its restrictions to the route.
 */
 export const bindClient = (
 	keyDigest: string | undefined,
@@ -53,7 +53,7 @@
 };
 
 /**
-Takes over the account that another node found by newer routes; this one may not know it at all.
+Applies the account that the forwarding node found in newer routes. This node may not know the account.
 */
 export const bindForwardedClient = (
 	{clients}: RouteTable,
@@ -74,7 +74,7 @@
 			);
 };
 
-// A key may have been added that this node has not heard of yet.
+// With outdated routes, the key may belong to an account that this node has not received yet.
 const refuseKey = (
 	{clientKey}: WireHeaders,
 	areRoutesFresh: boolean,
@@ -90,7 +90,7 @@
 			);
 
 /**
-The digest by which the caller's key is looked up; undefined where there is none.
+Digest by which the caller's key is looked up; undefined if the request has no key.
 */
 export const keyDigestOf = (
 	request: ReceivedRequest,
--- a/src/gateway/intake/caller-listener.ts
+++ b/src/gateway/intake/caller-listener.ts
@@ -20,7 +20,7 @@
 import type {ResponseSink} from '../exchange.ts';
 
 /**
-A request that was read whole.
+A request received with its whole body.
 */
 export type ReceivedRequest = {
 	readonly method: string;
@@ -30,41 +30,41 @@
 	readonly header: (name: string) => string | undefined;
 	readonly body: Buffer | undefined;
 	/**
-	Whether no other request came over its connection before.
+	Whether it is the first request on its connection.
 	*/
 	readonly isFirst: boolean;
 };
 
 /**
-Takes requests from callers.
+The HTTP listener for callers.
 */
 export type CallerListener = {
 	/**
-	Takes over the bounds of a new configuration.
+	Applies the limits of a new configuration.
 	*/
 	setLimits(limits: CallerLimits): void;
 	/**
-	Closes connections as they become idle, and takes no new ones.
+	Stops accepting connections and closes open ones as they become idle.
 	*/
 	drain(): void;
 	close(): Promise<void>;
 };
 
 /**
-What a listener for callers is built from.
+Options of `startCallerListener`.
 */
 export type CallerListenerOptions = {
 	readonly address: Address;
 	/**
-	Bounds before the first configuration.
+	Limits that apply until the first configuration is known.
 	*/
 	readonly limits: CallerLimits;
 	/**
-	Whether answers tell the caller to close its connection.
+	Whether responses ask the caller to close its connection.
 	*/
 	readonly isLeaving: () => boolean;
 	/**
-	Handles a request; returns what to call when the caller closes its connection.
+	Handles a request. The returned function is called when the caller closes its connection.
 	*/
 	readonly onRequest: (
 		request: ReceivedRequest,
@@ -73,14 +73,14 @@
 	readonly onUnreadable: (reason: string) => void;
 };
 
-// New connections that may wait to be taken; a full queue costs a caller seconds.
+// Length of the accept queue. A full queue delays the connection of a caller by seconds.
 const backlog = 1024;
-// A connection outlasts the stated idle time a little, so that a request that is sent at its end
-// still finds it open.
+// Added to the configured idle timeout, so that a request that is sent just before the timeout
+// still finds the connection open.
 const idleMarginMs = 2000;
 
 /**
-Starts listening for callers.
+Starts the HTTP listener for callers.
 */
 export const startCallerListener = async (
 	options: CallerListenerOptions,
@@ -128,8 +128,8 @@
 	});
 
 	return {
-		setLimits(given) {
-			limits = given;
+		setLimits(newLimits) {
+			limits = newLimits;
 			server.keepAliveTimeout = limits.idleTimeoutMs + idleMarginMs;
 			server.headersTimeout = limits.headerTimeoutMs + idleMarginMs;
 		},
@@ -142,7 +142,7 @@
 };
 
 /**
-Reads a body whole; nothing is called when the sender breaks off.
+Reads a whole body. `done` is not called when the sender aborts.
 */
 export const readBody = (
 	request: IncomingMessage,
@@ -164,30 +164,30 @@
 			done(size === 0 ? undefined : Buffer.concat(chunks, size));
 		}
 	});
-	// A sender that breaks off gets no answer; the connection is gone.
+	// A sender that aborts gets no response, because its connection is gone.
 	request.on('error', () => undefined);
 };
 
 /**
-Calls `callerLeft` when the caller closes the connection before the whole answer was written.
+Calls `callerLeft` when the caller closes the connection before the whole response was written.
 
-The end of what the caller sends is seen some turns of the loop before the connection is closed on both sides.
+The socket emits `end` some turns of the event loop before the connection is closed in both directions.
 */
 export const onCallerLeft = (
 	response: ServerResponse,
 	callerLeft: () => void,
 ): void => {
 	const {socket} = response;
-	const leave = () => {
+	const reportIfUnfinished = () => {
 		if (!response.writableFinished) {
 			callerLeft();
 		}
 	};
 
-	socket?.once('end', leave);
+	socket?.once('end', reportIfUnfinished);
 	response.once('close', () => {
-		socket?.off('end', leave);
-		leave();
+		socket?.off('end', reportIfUnfinished);
+		reportIfUnfinished();
 	});
 };
 
@@ -200,7 +200,7 @@
 };
 
 /**
-The parts of a request that was read.
+Converts a request of Node's HTTP server.
 */
 export const toReceivedRequest = (
 	request: IncomingMessage,
@@ -216,27 +216,27 @@
 });
 
 /**
-Writes an answer to a response of Node's HTTP server.
+Creates a sink that writes to a response of Node's HTTP server.
 */
 export const createResponseSink = (
 	response: ServerResponse,
 	isLeaving: () => boolean,
 ): ResponseSink => {
-	let isHeadOut = false;
-	const closing = (): readonly string[] =>
+	let isHeadSent = false;
+	const closeHeader = (): readonly string[] =>
 		isLeaving() ? ['connection', 'close'] : [];
 
 	return {
 		begin(status, headers) {
-			response.writeHead(status, [...headers, ...closing()]);
+			response.writeHead(status, [...headers, ...closeHeader()]);
 		},
 		write(chunk) {
-			if (isHeadOut) {
-				return hasRoomAfterWriting(response, chunk);
+			if (isHeadSent) {
+				return hasBufferSpaceAfterWriting(response, chunk);
 			}
 
-			// The head goes out with the first piece.
-			isHeadOut = true;
+			// The head is sent with the first chunk.
+			isHeadSent = true;
 			return response.write(chunk);
 		},
 		end(chunk) {
@@ -252,7 +252,7 @@
 			}
 
 			const {status, headers, body} = renderRefusal(error);
-			response.writeHead(status, [...headers, ...closing()]);
+			response.writeHead(status, [...headers, ...closeHeader()]);
 			response.end(body);
 		},
 		onDrain(resume) {
@@ -261,28 +261,31 @@
 	};
 };
 
-// Once the head is out, a piece of an answer in chunks goes to the socket in one write with its frame. The response makes
-// four writes of it that wait for the end of the turn and go out as a vector, a seventh of the main thread of fresh nodes
-// in a profile. A stream of 40 events took 8.7 and 8.6 ms of processor time without this, 8.1 and 8.9 with it.
-const hasRoomAfterWriting = (
+// Once the head is sent, each chunk of a chunked response is written to the socket together with its framing in one write.
+// `response.write` makes four writes of it, buffers them until the end of the event-loop turn and sends them as a vector,
+// which takes a seventh of the main thread of a fresh node. A stream of 40 events needs 8.7 and 8.6 ms of processor time
+// with `response.write`, 8.1 and 8.9 ms with the single write.
+const hasBufferSpaceAfterWriting = (
 	response: ServerResponse,
 	chunk: Buffer,
 ): boolean => {
 	const {socket} = response;
-	const isFramedHere =
+	const canWriteFramed =
 		socket !== null &&
 		response.chunkedEncoding &&
 		response.writableLength === socket.writableLength &&
 		socket.writableCorked === 0;
-	return isFramedHere ? socket.write(framed(chunk)) : response.write(chunk);
+	return canWriteFramed
+		? socket.write(frameChunk(chunk))
+		: response.write(chunk);
 };
 
 const lineEnd = '\r\n';
-// The digits of the length of any buffer, and two line ends.
-const frameBytes = 16;
+// Upper bound of the framing: the hexadecimal length of any buffer and two line ends.
+const maximumFramingBytes = 16;
 
-const framed = (chunk: Buffer): Buffer => {
-	const frame = Buffer.allocUnsafe(chunk.length + frameBytes);
+const frameChunk = (chunk: Buffer): Buffer => {
+	const frame = Buffer.allocUnsafe(chunk.length + maximumFramingBytes);
 	const length = chunk.length.toString(16);
 	const start = frame.write(`${length}${lineEnd}`, 0, 'latin1');
 	chunk.copy(frame, start);
@@ -290,8 +293,8 @@
 	return frame.subarray(0, end + frame.write(lineEnd, end, 'latin1'));
 };
 
-// Callers of a gateway heed fractions of a second, and a whole second is long against the latency
-// that they hope for.
+// Retry-After is sent with fractions of a second, which callers of the gateway honor: a whole second is
+// long compared with the latency that they expect.
 const renderRefusal = (error: GatewayError) => {
 	const rendered = renderError(error);
 	const fields = {
@@ -308,7 +311,7 @@
 	};
 };
 
-// A head that cannot be read never becomes a request, so its answer is written to the socket.
+// A request head that cannot be parsed reaches no request handler, so the response is written directly to the socket.
 const answerUnreadable = (
 	error: NodeJS.ErrnoException,
 	socket: Socket,
--- a/src/gateway/intake/entry-members.ts
+++ b/src/gateway/intake/entry-members.ts
@@ -1,33 +1,35 @@
 import type {Member} from '../../membership/index.ts';
 
 /**
-Whom a caller asks for.
+The caller for which nodes are selected, and the nodes to select from.
 */
 export type EntryQuery = {
 	/**
-	Nodes that take requests: those that are well, and those that leave and take them a while longer.
+	Nodes that accept requests: alive ones, and leaving ones that still accept them for a while.
 	*/
 	readonly members: readonly Member[];
 	readonly regionOf: (availabilityZone: string) => string;
 	/**
-	How many routes that may run in some regions only may run in this one.
+	Number of routes with home regions that may run in this region.
 	*/
 	readonly homeRoutes: (region: string) => number;
 	readonly region: string;
 	readonly availabilityZone: string;
 };
 
-// A caller is told of its own zone's nodes only where there are so many: it needs another one when
-// the first fails it.
+// A caller is given only nodes of its own zone if there are at least this many: it needs a second one when
+// the first one fails.
 const minimumInZone = 2;
 
 /**
-The nodes that a caller should use: those of its zone, else those of its region, else those of its
-region that are about to leave. Nodes of other regions only where its own has none, for a request that
-may run in some regions only must not be read in another one without need; then those regions where
-most of such requests may run, and of those again nodes that stay first. With all other nodes named,
-89 of 588 such requests were read where they may not run while six nodes were stopped 2 s apart; with
-nodes that stay before the regions where they may run, 54 of 583.
+Selects the nodes that a caller should use: those of its zone, else those of its region, else the leaving
+ones of its region.
+
+Nodes of other regions are selected only if the caller's region has none, because a request that is restricted to home
+regions must not be read elsewhere without need. They come from the regions where most routes with home regions
+may run, and alive nodes are preferred among them. If all other nodes are selected, 89 of 588 such requests are read
+outside their home regions while six nodes are stopped 2 s apart; if alive nodes are preferred to home regions, 54 of
+583 are.
 */
 export const selectEntryMembers = ({
 	members,
@@ -36,10 +38,10 @@
 	region,
 	availabilityZone,
 }: EntryQuery): readonly Member[] => {
-	const staying = members.filter(({status}) => status === 'alive');
+	const alive = members.filter(({status}) => status === 'alive');
 	const isInRegion = (member: Member) =>
 		regionOf(member.availabilityZone) === region;
-	const inRegion = staying.filter((member) => isInRegion(member));
+	const inRegion = alive.filter((member) => isInRegion(member));
 	const inZone = inRegion.filter(
 		(member) => member.availabilityZone === availabilityZone,
 	);
@@ -51,7 +53,7 @@
 		return inRegion;
 	}
 
-	// Where nodes are stopped one after the other, all of a small region may be leaving at once.
+	// When nodes are stopped one after the other, all nodes of a small region may be leaving at the same time.
 	const leaving = members.filter((member) => isInRegion(member));
 	if (leaving.length > 0) {
 		return leaving;
@@ -59,8 +61,14 @@
 
 	const homeRoutesOf = (member: Member) =>
 		homeRoutes(regionOf(member.availabilityZone));
-	const most = Math.max(...members.map((member) => homeRoutesOf(member)));
-	const atHome = members.filter((member) => homeRoutesOf(member) === most);
-	const stayingAtHome = atHome.filter(({status}) => status === 'alive');
-	return stayingAtHome.length > 0 ? stayingAtHome : atHome;
+	const highestCount = Math.max(
+		...members.map((member) => homeRoutesOf(member)),
+	);
+	const inHomeRegions = members.filter(
+		(member) => homeRoutesOf(member) === highestCount,
+	);
+	const aliveInHomeRegions = inHomeRegions.filter(
+		({status}) => status === 'alive',
+	);
+	return aliveInHomeRegions.length > 0 ? aliveInHomeRegions : inHomeRegions;
 };
--- a/src/gateway/intake/gateway-listeners.ts
+++ b/src/gateway/intake/gateway-listeners.ts
@@ -11,30 +11,30 @@
 } from './caller-listener.ts';
 
 /**
-Where a node takes calls: of other nodes and of callers.
+Listeners of a node: for other nodes and for callers.
 */
 export type GatewayListeners = {
 	start(): Promise<void>;
 	/**
-	Takes over the bounds on callers of a new configuration.
+	Applies the caller limits of a new configuration.
 	*/
 	setLimits(limits: CallerLimits): void;
 	/**
-	Closes connections of callers as they become idle, and takes no new ones.
+	Stops accepting connections of callers and closes open ones as they become idle.
 	*/
 	drain(): void;
 	close(): Promise<void>;
 };
 
 /**
-What the listeners are built from.
+Options of `createGatewayListeners`.
 */
 export type GatewayListenersOptions = {
 	readonly peers: PeerListenerOptions;
 	readonly callers: Omit<CallerListenerOptions, 'limits'>;
 };
 
-// Bounds on callers before the first configuration is known; no request is served until then.
+// Limits that apply until the first configuration is known; no request is served before.
 const initialLimits: CallerLimits = {
 	maximumHeaderBytes: 65_536,
 	maximumBodyBytes: 16_777_216,
@@ -43,12 +43,12 @@
 };
 
 /**
-Builds the listeners of one node; nothing is listened to before `start`.
+Creates the listeners of one node; `start` opens them.
 */
 export const createGatewayListeners = (
 	options: GatewayListenersOptions,
 ): GatewayListeners => {
-	// The first routes may come before the listener for callers is up.
+	// The first routes may arrive before the listener for callers is started.
 	let limits = initialLimits;
 	let front: CallerListener | undefined;
 	let peers: PeerListener | undefined;
@@ -59,8 +59,8 @@
 			front = await startCallerListener({...options.callers, limits});
 			front.setLimits(limits);
 		},
-		setLimits(given) {
-			limits = given;
+		setLimits(newLimits) {
+			limits = newLimits;
 			front?.setLimits(limits);
 		},
 		drain() {
--- a/src/gateway/intake/hop-sink.ts
+++ b/src/gateway/intake/hop-sink.ts
@@ -4,7 +4,7 @@
 import {createResponseSink} from './caller-listener.ts';
 
 /**
-Builds what answers a request that another node forwarded: with the headers that tell it how the
+Creates a sink for the response to a forwarded request. Its headers report to the forwarding node how the
 request ended here.
 */
 export const createHopSink = (response: ServerResponse): ResponseSink => {
--- a/src/gateway/intake/leaving-admission.ts
+++ b/src/gateway/intake/leaving-admission.ts
@@ -2,31 +2,31 @@
 import type {RouteDurations} from '../delivery/index.ts';
 
 /**
-Decides which requests a node that is about to end still takes.
+Decides which requests a leaving node still accepts.
 */
 export type LeavingAdmission = {
 	/**
-	The node is leaving, and ends at this time; both by its clock in milliseconds.
+	Marks the node as leaving. It exits at `endsAt`; both times are milliseconds of its clock.
 	*/
 	leave(now: number, endsAt: number): void;
 	/**
-	Whether a request will be answered before the node ends; always true before `leave` was called.
+	Whether a request is expected to be answered before the node exits; always true before `leave` was called.
 	*/
 	admits(exchange: Exchange): boolean;
 };
 
-// While callers are still led here a request is taken where all but one in twenty of its route would be
-// answered in time. With the whole time limit of the route, a stream that may take 12 s was refused from
-// the first moment on, though half of them end within 2 s.
-const answeredPart = 0.95;
+// While callers are still directed to this node, a request is accepted if all but one in twenty requests of its
+// route would be answered in time. With the whole timeout of the route as the criterion, streams that may take
+// 12 s are refused as soon as the node begins to leave, although half of them end within 2 s.
+const answeredFraction = 0.95;
 
-// How long callers are led to a leaving node, in milliseconds: the directory has left it out by then, and
-// what it told is no longer valid. Whoever comes later knows better nodes and is not put at any risk: of
-// the streams that were expected to end in time one in twenty was cut off.
-const ledHereMs = 2500;
+// How long callers are still directed to a leaving node, in milliseconds. After that the directory no longer lists
+// the node, and its earlier responses have expired. A caller that comes later knows better nodes, so its request is
+// accepted only if its whole time limit fits: one in twenty of the streams that are expected to end in time is cut off.
+const directedHereMs = 2500;
 
 /**
-Builds the admission of a node that is not leaving.
+Creates the admission control of a node that is not leaving.
 */
 export const createLeavingAdmission = (
 	durations: RouteDurations,
@@ -34,7 +34,7 @@
 	let leaving: {readonly since: number; readonly endsAt: number} | undefined;
 
 	const expectedMs = ({route}: Exchange): number =>
-		durations.quantileMs(route.name, answeredPart) ?? route.timeoutMs;
+		durations.quantileMs(route.name, answeredFraction) ?? route.timeoutMs;
 
 	return {
 		leave(now, endsAt) {
@@ -46,8 +46,10 @@
 				return true;
 			}
 
-			const isLedHere = receivedAt - leaving.since < ledHereMs;
-			return isLedHere && receivedAt + expectedMs(exchange) <= leaving.endsAt;
+			const isDirectedHere = receivedAt - leaving.since < directedHereMs;
+			return (
+				isDirectedHere && receivedAt + expectedMs(exchange) <= leaving.endsAt
+			);
 		},
 	};
 };
--- a/src/gateway/intake/read-exchange.ts
+++ b/src/gateway/intake/read-exchange.ts
@@ -21,20 +21,20 @@
 import type {ReceivedRequest} from './caller-listener.ts';
 
 /**
-What requests are read with.
+State of this node against which requests are read.
 */
 export type ReadContext = {
 	readonly names: WireHeaders;
 	readonly routes: RouteTable | undefined;
 	/**
-	Whether the routes were confirmed lately, so that a path without a route has none.
+	Whether the routes were confirmed recently. If so, a path that matches no route is unknown.
 	*/
 	readonly areRoutesFresh: boolean;
 	readonly now: number;
 };
 
 /**
-Reads the request of a caller.
+Reads a caller's request.
 */
 export const readExchange = (
 	request: ReceivedRequest,
@@ -72,7 +72,7 @@
 	const remainingMs =
 		Number.isFinite(statedMs) && statedMs > 0 ? statedMs : route.timeoutMs;
 	return Result.ok({
-		...common(request, names, routes),
+		...commonFields(request, names, routes),
 		...bound.value,
 		requestId,
 		service: pickService(route, requestId),
@@ -83,8 +83,8 @@
 };
 
 /**
-Reads a request that another node forwards. Its route, and its account, are those of the node whose routes are
-newer.
+Reads a request that another node forwards. The route and the account are taken from the node that has the newer
+routes.
 */
 export const readForwarded = (
 	request: ReceivedRequest,
@@ -106,8 +106,8 @@
 		return refuse('no-candidate', 'This node has no route for the request');
 	}
 
-	const isOwnNewer = routes.document.version > call.version;
-	const bound = isOwnNewer
+	const hasNewerRoutes = routes.document.version > call.version;
+	const bound = hasNewerRoutes
 		? bindClient(
 				call.client?.keyDigest ?? keyDigestOf(request, names),
 				context,
@@ -120,10 +120,10 @@
 	}
 
 	return Result.ok({
-		...common(request, names, routes),
+		...commonFields(request, names, routes),
 		...bound.value,
 		requestId,
-		service: isOwnNewer ? pickService(route, requestId) : call.service,
+		service: hasNewerRoutes ? pickService(route, requestId) : call.service,
 		receivedAt: context.now,
 		...forwardedTimes(call, context.now),
 		hop: {
@@ -138,7 +138,7 @@
 	expiresAt: now + remainingMs,
 });
 
-const common = (
+const commonFields = (
 	request: ReceivedRequest,
 	names: WireHeaders,
 	{clients}: RouteTable,
@@ -148,32 +148,32 @@
 	target: request.target,
 	headers: forwardableHeaders(
 		request.rawHeaders,
-		leftOut(names, clients !== undefined),
+		droppedHeaders(names, clients !== undefined),
 	),
 	body: request.body,
 	prompt: readPrompt(request, names),
 	lastEventId: request.header(lastEventIdHeader),
 });
 
-type LeftOut = {
+type DroppedHeaders = {
 	readonly always: ReadonlySet<string>;
 	readonly withClients: ReadonlySet<string>;
 };
 
-const leftOutOf = new WeakMap<WireHeaders, LeftOut>();
+const droppedHeadersOf = new WeakMap<WireHeaders, DroppedHeaders>();
 
-// What only this system sets, and what it sets anew for the next hop. Where callers need a key, backend servers are
-// not shown it.
-const leftOut = (
+// Headers that are not forwarded: those that only the gateway may set, and those that it sets again for the next hop.
+// Where callers need a key, the key is not sent to backend servers either.
+const droppedHeaders = (
 	names: WireHeaders,
 	hasClients: boolean,
 ): ReadonlySet<string> => {
-	const known = leftOutOf.get(names) ?? buildLeftOut(names);
-	leftOutOf.set(names, known);
+	const known = droppedHeadersOf.get(names) ?? buildDroppedHeaders(names);
+	droppedHeadersOf.set(names, known);
 	return hasClients ? known.withClients : known.always;
 };
 
-const buildLeftOut = (names: WireHeaders): LeftOut => {
+const buildDroppedHeaders = (names: WireHeaders): DroppedHeaders => {
 	const always = [
 		...names.reserved,
 		...hopHeaderNames,
--- a/src/gateway/intake/region-failover-log.ts
+++ b/src/gateway/intake/region-failover-log.ts
@@ -2,49 +2,49 @@
 import type {Member} from '../../membership/index.ts';
 
 /**
-Writes down when callers of a region begin to be led to other regions, and when that ends.
+Logs when callers of a region begin to be directed to other regions, and when that ends.
 */
 export type RegionFailoverLog = {
 	/**
-	Callers of the region were told of these nodes.
+	Records the nodes that callers of the region were given.
 	*/
-	note(region: string, named: readonly Member[]): void;
+	record(region: string, named: readonly Member[]): void;
 };
 
 /**
-What a log is built from.
+Options of `createRegionFailoverLog`.
 */
 export type RegionFailoverLogOptions = {
 	readonly logger: Logger;
 	readonly regionOf: (availabilityZone: string) => string;
 	/**
-	All nodes that are known, this one included.
+	All known nodes, including this one.
 	*/
 	readonly members: () => readonly Member[];
 };
 
 /**
-Builds a log in which callers of all regions were led to their own.
+Creates a log that assumes callers of each region to be directed to their own region.
 */
 export const createRegionFailoverLog = ({
 	logger,
 	regionOf,
 	members,
 }: RegionFailoverLogOptions): RegionFailoverLog => {
-	const ledTo = new Map<string, string>();
+	const targets = new Map<string, string>();
 
 	return {
-		note(region, named) {
-			// A change is a line, not each answer: callers ask every other second.
+		record(region, named) {
+			// Only changes are logged, because callers ask every two seconds.
 			const regions = new Set(
 				named.map(({availabilityZone}) => regionOf(availabilityZone)),
 			);
 			const target = [...regions].toSorted().join(' ');
-			if (target === (ledTo.get(region) ?? region)) {
+			if (target === (targets.get(region) ?? region)) {
 				return;
 			}
 
-			ledTo.set(region, target);
+			targets.set(region, target);
 			logger.info(
 				{
 					region,
--- a/src/gateway/intake/request-deferral.ts
+++ b/src/gateway/intake/request-deferral.ts
@@ -1,34 +1,35 @@
 /**
-Lets closes of connections be seen before the requests that came over them are taken.
+Defers requests until pending closes of their connections have been processed.
 */
 export type RequestDeferral = {
 	/**
-	Runs at once, or when closes that have arrived were seen; returns what keeps it from running.
+	Calls `run` at once, or after pending closes were processed. The returned function cancels the call.
 
-	@param run What takes the request.
-	@param isFirst Whether it is the first request of its connection.
+	@param run Handles the request.
+	@param isFirst Whether it is the first request on its connection.
 	*/
 	schedule(run: () => void, isFirst: boolean): () => void;
 };
 
 /**
-From this delay of the event loop on, closes may have arrived with the requests that are read, in milliseconds:
-far less than the half second in which nothing may be sent on for a caller that has left, and more than a
-collection of garbage takes.
+Delay of the event loop, in milliseconds, from which requests are deferred, because closes may be pending behind them.
+It is far shorter than the half second after which nothing may be forwarded for a caller that has left, and longer than
+a garbage collection.
 */
 export const deferralLagMs = 100;
 
 /**
-Builds it.
+Creates a deferral.
 
-A caller may have given up a request before this node reads it; the close then lies in the same socket behind the
-request, and the runtime reads it one turn of the loop later. Taken at once, the request is sent on for nobody. It is so
-where the loop is late, and for the first request of a connection that had to be asked for twice: a machine without
-power answers nothing, the second try comes a second later, and that is as long as callers wait to be read. On a
-small node that had just restarted the closes were seen 15 to 54 ms after the requests (eight in its log), and by way of
-it 6 to 21 requests reached servers over half a second after their callers had left.
+A caller may have cancelled a request before this node reads it. The close is then pending in the same socket behind the
+request, and the runtime reads it one turn of the event loop later. If the request were handled at once, it would be
+forwarded although its caller has left. This happens when the event loop is late, and with the first request on a
+connection that was attempted twice: a machine without power does not respond, the second attempt follows a second
+later, and callers do not wait longer than that for their request to be read. On a small node that has just restarted,
+closes are seen 15 to 54 ms after the requests (eight cases), and without the deferral 6 to 21 requests reach servers
+more than half a second after their callers have left.
 
-@param lagMs How late the event loop is.
+@param lagMs Delay of the event loop in milliseconds.
 */
 export const createRequestDeferral = (
 	lagMs: () => number,
@@ -39,17 +40,17 @@
 			return () => undefined;
 		}
 
-		let isOver = false;
-		// The first turn ends the one that read the request, the second has read the close.
+		let isCancelled = false;
+		// The first callback ends the turn that read the request; the close has been read before the second one.
 		setImmediate(() => {
 			setImmediate(() => {
-				if (!isOver) {
+				if (!isCancelled) {
 					run();
 				}
 			});
 		});
 		return () => {
-			isOver = true;
+			isCancelled = true;
 		};
 	},
 });
--- a/src/gateway/intake/request-intake.ts
+++ b/src/gateway/intake/request-intake.ts
@@ -26,36 +26,36 @@
 } from './read-exchange.ts';
 
 /**
-Takes requests in and hands them to delivery.
+Receives requests and hands them to delivery.
 */
 export type RequestIntake = {
 	/**
-	Takes a caller's request; returns what to call when the caller closes its connection.
+	Handles a caller's request. The returned function is called when the caller closes its connection.
 	*/
 	handle(request: ReceivedRequest, sink: ResponseSink): () => void;
 	/**
-	Takes a request that another node forwards.
+	Handles a request that another node forwards.
 	*/
 	handleForwarded(request: IncomingMessage, response: ServerResponse): void;
 	/**
-	Goes on with what came before the first routes; to be called once there are routes.
+	Resumes the requests that arrived before the first routes; called once there are routes.
 	*/
 	onRoutesAvailable(): void;
 };
 
 /**
-What an intake is built from.
+Options of `createRequestIntake`.
 */
 export type RequestIntakeOptions = {
 	readonly deliveries: Deliveries;
 	readonly observer: GatewayObserver;
 	/**
-	Asked for each request of a caller.
+	Checked for each request of a caller.
 	*/
 	readonly admission: LeavingAdmission;
 	readonly requestDeferral: RequestDeferral;
 	/**
-	Asked for each request of a caller that has an account.
+	Checks the limit of the account; called for each request of a caller that has one.
 	*/
 	readonly admit: (exchange: Exchange) => SharedVerdict;
 	readonly without: DisabledMechanisms;
@@ -63,18 +63,18 @@
 };
 
 /**
-How long a request waits for the first routes of a node that has just started, in milliseconds. The
-registry is read in less; a caller that is refused has one try less.
+How long a request waits for the first routes of a node that has just started, in milliseconds. Reading
+the registry takes less time, and a refusal costs the caller one of its attempts.
 */
 export const firstRoutesTimeoutMs = 500;
 
 /**
-Requests that wait for the first routes at the most; more are refused at once.
+Maximum number of requests that wait for the first routes; further ones are refused at once.
 */
 export const maximumEarlyRequests = 500;
 
 /**
-Builds the intake of one node.
+Creates the intake of one node.
 */
 export const createRequestIntake = ({
 	deliveries,
@@ -85,16 +85,16 @@
 	without,
 	readContext,
 }: RequestIntakeOptions): RequestIntake => {
-	// A request that another node forwards is cut with this node's end as well, but its origin knows of
-	// no better place for it: nodes send nothing to one that they know to be leaving.
-	const admitted = (
-		read: Result<Exchange, GatewayError>,
+	// A forwarded request is also cut off when this node exits, but its origin knows of no better node:
+	// nodes forward nothing to a node that they know to be leaving.
+	const checkAdmission = (
+		result: Result<Exchange, GatewayError>,
 	): Result<Exchange, GatewayError> =>
-		read.isErr ||
-		read.value.hop !== undefined ||
+		result.isErr ||
+		result.value.hop !== undefined ||
 		without.has('leaving-admission') ||
-		admission.admits(read.value)
-			? read
+		admission.admits(result.value)
+			? result
 			: Result.err(
 					createGatewayError(
 						'leaving',
@@ -102,25 +102,25 @@
 					),
 				);
 
-	// The node of the caller has counted a forwarded request already.
-	const limited = (
-		read: Result<Exchange, GatewayError>,
+	// The node that received a forwarded request from the caller has already counted it.
+	const checkLimit = (
+		result: Result<Exchange, GatewayError>,
 	): Result<Exchange, GatewayError> => {
-		if (read.isErr || !read.value.client || read.value.hop) {
-			return read;
+		if (result.isErr || !result.value.client || result.value.hop) {
+			return result;
 		}
 
-		const verdict = admit(read.value);
+		const verdict = admit(result.value);
 		switch (verdict.kind) {
 			case 'admitted': {
-				return read;
+				return result;
 			}
 
 			case 'limited': {
 				return Result.err(
 					createGatewayError(
 						'limit-exceeded',
-						`Account ${read.value.client.name} is beyond its limit`,
+						`Account ${result.value.client.name} is beyond its limit`,
 						{retryAfterSeconds: verdict.retryAfterSeconds},
 					),
 				);
@@ -128,15 +128,15 @@
 		}
 	};
 
-	const takeBy = (
+	const handleNow = (
 		read: typeof readExchange,
 		request: ReceivedRequest,
 		sink: ResponseSink,
 		arrivedAt: number,
 	): (() => void) => {
-		// Its time runs from its arrival, however long it waited for the first routes.
+		// The time limit counts from the arrival of the request and includes the wait for the first routes.
 		const context = {...readContext(), now: arrivedAt};
-		const exchange = limited(admitted(read(request, context)));
+		const exchange = checkLimit(checkAdmission(read(request, context)));
 		if (exchange.isErr) {
 			const {kind, message} = exchange.error;
 			sink.refuse(exchange.error, []);
@@ -151,72 +151,72 @@
 		return deliveries.deliver(exchange.value, sink).callerLeft;
 	};
 
-	const early = new Set<() => void>();
+	const waiting = new Set<() => void>();
 
-	// Runs once routes are known, or when the patience for them is over.
+	// Calls `run` once routes are known, or after `firstRoutesTimeoutMs`.
 	const afterRoutes = (run: () => void): (() => void) => {
 		const isReady =
 			readContext().routes !== undefined || without.has('early-requests');
-		if (isReady || early.size >= maximumEarlyRequests) {
+		if (isReady || waiting.size >= maximumEarlyRequests) {
 			run();
 			return () => undefined;
 		}
 
-		const go = () => {
-			forget();
+		const resume = () => {
+			cancel();
 			run();
 		};
 
-		const forget = () => {
+		const cancel = () => {
 			clearTimeout(timer);
-			early.delete(go);
+			waiting.delete(resume);
 		};
 
-		const timer = setTimeout(go, firstRoutesTimeoutMs);
-		early.add(go);
-		return forget;
+		const timer = setTimeout(resume, firstRoutesTimeoutMs);
+		waiting.add(resume);
+		return cancel;
 	};
 
-	const takeReady = (
+	const handleDeferred = (
 		read: typeof readExchange,
 		request: ReceivedRequest,
 		sink: ResponseSink,
 	): (() => void) => {
 		const arrivedAt = readContext().now;
 		let cancel: () => void = () => undefined;
-		const skip = requestDeferral.schedule(() => {
+		const cancelDeferral = requestDeferral.schedule(() => {
 			let callerLeft: () => void = () => undefined;
-			const forget = afterRoutes(() => {
-				callerLeft = takeBy(read, request, sink, arrivedAt);
+			const cancelWait = afterRoutes(() => {
+				callerLeft = handleNow(read, request, sink, arrivedAt);
 			});
 			cancel = () => {
-				forget();
+				cancelWait();
 				callerLeft();
 			};
 		}, request.isFirst);
 		return () => {
-			skip();
+			cancelDeferral();
 			cancel();
 		};
 	};
 
 	return {
-		handle: (request, sink) => takeReady(readExchange, request, sink),
+		handle: (request, sink) => handleDeferred(readExchange, request, sink),
 		onRoutesAvailable() {
-			for (const go of early) {
-				go();
+			for (const resume of waiting) {
+				resume();
 			}
 		},
 		handleForwarded(request, response) {
-			// The node of the caller has checked the length by its bounds.
+			// The node that received the request from the caller has checked its length.
 			readBody(request, Number.MAX_SAFE_INTEGER, (body) => {
 				if (body === 'too-large') {
 					return;
 				}
 
 				const sink = createHopSink(response);
-				const read = toReceivedRequest(request, body);
-				onCallerLeft(response, takeReady(readForwarded, read, sink));
+				const received = toReceivedRequest(request, body);
+				onCallerLeft(response, handleDeferred(readForwarded, received, sink));
 			});
 		},
 	};
--- a/tests/gateway/client-limit-log.test.ts
+++ b/tests/gateway/client-limit-log.test.ts
@@ -19,9 +19,9 @@
 			ageMs: 120.4,
 		}),
 	);
-	log.note('account', {kind: 'admitted'}, 0);
+	log.record('account', {kind: 'admitted'}, 0);
 	for (let at = 100; at < 1000; at += 10) {
-		log.note('account', {kind: 'limited', retryAfterSeconds: 1}, at);
+		log.record('account', {kind: 'limited', retryAfterSeconds: 1}, at);
 		log.tick(at);
 	}
 
--- a/tests/gateway/intake/entry-members.test.ts
+++ b/tests/gateway/intake/entry-members.test.ts
@@ -3,7 +3,7 @@
 import {selectEntryMembers} from '../../../src/gateway/intake/entry-members.ts';
 import {memberOf} from '../../fixtures.ts';
 
-// Zones a1 and a2 are in region a.
+// Zones a1 and a2 belong to region a.
 const idsFor = (ids: readonly string[], availabilityZone: string) =>
 	selectEntryMembers({
 		members: ids.map((id) => memberOf(id, id.slice(0, 2))),
@@ -13,7 +13,7 @@
 		availabilityZone,
 	}).map(({id}) => id);
 
-test('a caller is told of its zone where that has two nodes, else of its region', () => {
+test('a caller is given the nodes of its zone if that has two, else those of its region', () => {
 	assert.deepEqual(idsFor(['a1-1', 'a1-2', 'a2-1', 'b1-1'], 'a1'), [
 		'a1-1',
 		'a1-2',
@@ -21,12 +21,12 @@
 	assert.deepEqual(idsFor(['a1-1', 'a2-1', 'b1-1'], 'a1'), ['a1-1', 'a2-1']);
 });
 
-test('one node of the own region is enough to name no other region', () => {
+test('one node in the region of the caller is enough to give none of other regions', () => {
 	assert.deepEqual(idsFor(['a1-1', 'b1-1', 'b1-2'], 'a1'), ['a1-1']);
 	assert.deepEqual(idsFor(['b1-1', 'b1-2'], 'a1'), ['b1-1', 'b1-2']);
 });
 
-test('where all nodes of a region leave, those are named before other regions, and only then', () => {
+test('leaving nodes of a region are given before other regions, but only when all of its nodes are leaving', () => {
 	const named = (...members: ReadonlyArray<[string, 'alive' | 'leaving']>) =>
 		selectEntryMembers({
 			members: members.map(([id, status]) =>
@@ -49,7 +49,7 @@
 	assert.deepEqual(named(['b1-1', 'leaving'], ['b1-2', 'alive']), ['b1-2']);
 });
 
-test('where the region has no node, those are named where most routes with homes may run', () => {
+test('without a node in the region, nodes are given from where most routes with home regions may run', () => {
 	const named = (
 		homes: Readonly<Record<string, number>>,
 		leaving: readonly string[] = [],
--- a/tests/gateway/intake/leaving-admission.test.ts
+++ b/tests/gateway/intake/leaving-admission.test.ts
@@ -18,18 +18,18 @@
 	return createLeavingAdmission(durations);
 };
 
-test('a node that stays takes everything', (t: TestContext) => {
+test('a node that is not leaving accepts everything', (t: TestContext) => {
 	t.assert.ok(admissionAfter([]).admits(at(1e9)));
 });
 
-test('a route of which nothing is known is taken for its whole time', (t: TestContext) => {
+test('without recorded durations a request is expected to take the whole timeout of its route', (t: TestContext) => {
 	const admission = admissionAfter([]);
 	admission.leave(0, routeOf().timeoutMs + 10);
 	t.assert.ok(admission.admits(at(10)));
 	t.assert.ok(!admission.admits(at(11)));
 });
 
-test('while callers are led here, requests are taken for as long as those before them needed', (t: TestContext) => {
+test('while callers are directed here, requests are expected to take as long as earlier ones', (t: TestContext) => {
 	const admission = admissionAfter([
 		...Array.from({length: 97}, () => 200),
 		3000,
@@ -41,14 +41,14 @@
 	t.assert.ok(!admission.admits(at(endsAt - 199)));
 });
 
-test('later a request is taken only where its whole time fits in', (t: TestContext) => {
+test('later a request is accepted only if its whole time limit fits', (t: TestContext) => {
 	const admission = admissionAfter(Array.from({length: 97}, () => 200));
 	admission.leave(0, 8000);
 	t.assert.ok(admission.admits(at(4000)));
 	t.assert.ok(!admission.admits(at(4001)));
 });
 
-test('whatever was seen, a request that comes later is not taken sooner', (t: TestContext) => {
+test('for any recorded durations, an earlier request is accepted whenever a later one is', (t: TestContext) => {
 	fc.assert(
 		fc.property(
 			fc.array(fc.nat(5000), {maxLength: 200}),
--- a/tests/gateway/intake/read-exchange.test.ts
+++ b/tests/gateway/intake/read-exchange.test.ts
@@ -42,7 +42,7 @@
 const errorOf = (result: ReturnType<typeof readExchange>) =>
 	result.isErr ? result.error.kind : 'ok';
 
-test('a request without an id, without routes or without a route is refused as what it is', () => {
+test('a request without an id, routes or a matching route is refused with the error for that case', () => {
 	assert.equal(
 		errorOf(readExchange(requestOf([]), contextOf())),
 		'bad-request',
@@ -59,7 +59,7 @@
 	);
 });
 
-test('reserved headers, those of one connection and those between nodes are taken off', () => {
+test('reserved, hop-by-hop and node-to-node headers are removed', () => {
 	const request = requestOf([
 		'X-Test-Id',
 		'r',
@@ -82,7 +82,7 @@
 	assert.equal(exchange.value.hop, undefined);
 });
 
-test('a request expires at the earlier of its own time and that of its route', () => {
+test('a request expires at its own deadline or that of its route, whichever is earlier', () => {
 	const expiryOf = (stated: string) => {
 		const exchange = readExchange(
 			requestOf(['X-Test-Id', 'r', 'X-Test-Remaining', stated]),
@@ -98,7 +98,7 @@
 	assert.equal(expiryOf('-1'), 5000);
 });
 
-test('the service of a forwarded request is that of the node with the newer routes', () => {
+test('a forwarded request gets the service chosen by the node with the newer routes', () => {
 	const routes = createRouteTable(
 		documentOf({
 			version: 5,
@@ -130,7 +130,7 @@
 	assert.equal(serviceAt(6), 'there');
 });
 
-test('any headers are read or refused, and never end in an exception', () => {
+test('arbitrary headers never cause an exception', () => {
 	const headers = fc.array(fc.string(), {maxLength: 12});
 	fc.assert(
 		fc.property(headers, fc.string(), fc.string(), (raw, usage, parts) => {
@@ -163,7 +163,7 @@
 		}),
 	);
 
-test('a route that is not public asks for a key that is known', () => {
+test('a route that is not public requires a known key', () => {
 	const read = (headers: readonly string[], change: Partial<ReadContext>) =>
 		errorOf(
 			readExchange(requestOf(['X-Test-Id', 'r', ...headers]), {
@@ -177,7 +177,7 @@
 	assert.equal(read(['X-Test-Key', 'KEY'], {}), 'unauthenticated');
 	assert.equal(read(['X-Test-Key', 'key, key'], {}), 'unauthenticated');
 	assert.equal(read(['X-Test-Key', 'k'.repeat(16_384)], {}), 'unauthenticated');
-	// The key may have been added since this node last heard of the routes.
+	// The key may have been added since this node last received routes.
 	assert.equal(
 		read(['X-Test-Key', 'new'], {areRoutesFresh: false}),
 		'not-ready',
@@ -187,7 +187,7 @@
 	assert.equal(read([], {routes: publicRoutes}), 'ok');
 });
 
-test('key and account name of a caller go no further where keys are asked for', () => {
+test('the key and account name sent by a caller are not forwarded where keys are required', () => {
 	const request = requestOf([
 		'X-Test-Id',
 		'r',
@@ -211,7 +211,7 @@
 	assert.equal(open.value.headers.length, 6);
 });
 
-test('homes of route and account both bind, and without a common one it is refused at once', () => {
+test('home regions of route and account both apply, and a request without a common one is refused at once', () => {
 	const read = (homeRegions: readonly string[]) =>
 		readExchange(
 			requestOf(['X-Test-Id', 'r', 'X-Test-Key', 'key']),
@@ -225,7 +225,7 @@
 	assert.equal(errorOf(read(['north'])), 'residency-unavailable');
 });
 
-test('a forwarded request has the account of the node with the newer routes', () => {
+test('a forwarded request gets the account found by the node with the newer routes', () => {
 	const clientAt = (version: number, routes: ReadContext['routes']) => {
 		const hop = encodeHopCall({
 			origin: 'node-2',
@@ -252,7 +252,7 @@
 	assert.equal(clientAt(6, keyIsGone), 'told');
 });
 
-test('a node without accounts yet passes the key on to one that has them, which finds the account', () => {
+test('a node that has no accounts yet forwards the key, and the receiving node finds the account', () => {
 	const hop = encodeHopCall({
 		origin: 'node-2',
 		version: 4,
--- a/tests/gateway/intake/request-deferral.test.ts
+++ b/tests/gateway/intake/request-deferral.test.ts
@@ -18,37 +18,38 @@
 	}
 };
 
-test('a node in time takes a request at once, a late one two turns later or not at all', async (t: TestContext) => {
-	let taken = 0;
-	const take = () => {
-		taken += 1;
+test('a request is handled at once without loop delay; with it, two turns later or not at all', async (t: TestContext) => {
+	let handled = 0;
+	const handle = () => {
+		handled += 1;
 	};
 
-	createRequestDeferral(() => deferralLagMs - 1).schedule(take, false);
-	t.assert.strictEqual(taken, 1);
-	const late = createRequestDeferral(() => deferralLagMs);
-	late.schedule(take, false);
-	const skip = late.schedule(take, false);
-	t.assert.strictEqual(taken, 1);
-	skip();
+	createRequestDeferral(() => deferralLagMs - 1).schedule(handle, false);
+	t.assert.strictEqual(handled, 1);
+	const lateDeferral = createRequestDeferral(() => deferralLagMs);
+	lateDeferral.schedule(handle, false);
+	const cancel = lateDeferral.schedule(handle, false);
+	t.assert.strictEqual(handled, 1);
+	cancel();
 	await turns(3);
-	t.assert.strictEqual(taken, 2);
-	createRequestDeferral(() => 0).schedule(take, true);
-	t.assert.strictEqual(taken, 2);
+	t.assert.strictEqual(handled, 2);
+	createRequestDeferral(() => 0).schedule(handle, true);
+	t.assert.strictEqual(handled, 2);
 	await turns(3);
-	t.assert.strictEqual(taken, 3);
+	t.assert.strictEqual(handled, 3);
 });
 
-// The request and the close of the caller have both arrived when the node's loop comes to read them.
-const takenAfterClose = async (
+// Returns how many requests are handled when the request and the close of its caller are both pending before the event
+// loop reads them.
+const handledAfterClose = async (
 	lagMs: number,
 	hasFirst: boolean,
 ): Promise<number> => {
 	const host = `127.${randomInt(2, 250)}.${randomInt(1, 250)}.1`;
-	const closesFirst = createRequestDeferral(() => lagMs);
-	let taken = 0;
+	const deferral = createRequestDeferral(() => lagMs);
+	let handled = 0;
 	const left = Promise.withResolvers<void>();
-	const front = await startCallerListener({
+	const listener = await startCallerListener({
 		address: `${host}:${port}`,
 		limits: {
 			maximumHeaderBytes: 16_384,
@@ -58,11 +59,11 @@
 		},
 		isLeaving: () => false,
 		onRequest({isFirst}) {
-			const skip = closesFirst.schedule(() => {
-				taken += 1;
+			const cancel = deferral.schedule(() => {
+				handled += 1;
 			}, isFirst && hasFirst);
 			return () => {
-				skip();
+				cancel();
 				left.resolve();
 			};
 		},
@@ -76,19 +77,19 @@
 	);
 	const until = performance.now() + 50;
 	while (performance.now() < until) {
-		// The loop does not come round.
+		// Block the event loop.
 	}
 
 	await left.promise;
 	await turns(5);
 	caller.destroy();
-	await front.close();
-	return taken;
+	await listener.close();
+	return handled;
 };
 
-test('a request whose caller has closed its connection is not taken', async (t: TestContext) => {
-	t.assert.strictEqual(await takenAfterClose(deferralLagMs, false), 0);
-	t.assert.strictEqual(await takenAfterClose(0, true), 0);
-	// Without the turns it is taken, for the close is read after it.
-	t.assert.strictEqual(await takenAfterClose(0, false), 1);
+test('a request whose caller has closed its connection is not handled', async (t: TestContext) => {
+	t.assert.strictEqual(await handledAfterClose(deferralLagMs, false), 0);
+	t.assert.strictEqual(await handledAfterClose(0, true), 0);
+	// Without the deferral it is handled, because the close is read after it.
+	t.assert.strictEqual(await handledAfterClose(0, false), 1);
 });
