--- a/src/gateway/intake/region-failover-log.ts
+++ b/src/gateway/intake/region-failover-log.ts
@@ -53,7 +53,7 @@
 						.map(({id, status}) => `${id} ${status}`)
 						.join(', '),
 				},
-				'callers led to other regions than before',
+				'target regions of callers changed',
 			);
 		},
 	};
--- a/src/gateway/sharing/limit-sharing.ts
+++ b/src/gateway/sharing/limit-sharing.ts
@@ -14,14 +14,14 @@
 import type {UsageMessage} from '../../peers/usage-messages.ts';
 
 /**
-Holds client accounts to their limits, together with the other nodes.
+Enforces the limits of client accounts, together with the other nodes.
 */
 export type LimitSharing = {
 	/**
-	Admits a request of an account or not.
+	Decides whether to admit a request of an account.
 
 	@param account Name of the account.
-	@param tokens Tokens of the prompt and the most that the answer may hold; undefined where the request states none.
+	@param tokens Tokens of the prompt plus the maximum of the answer; undefined if the request states none.
 	*/
 	admit(
 		account: string,
@@ -29,30 +29,30 @@
 		now: number,
 	): SharedVerdict;
 	/**
-	Takes in what another node tells.
+	Processes a usage message of another node.
 	*/
 	receive(message: UsageMessage, now: number): void;
 	/**
-	Tells other nodes once the interval is over; called at each tick.
+	Sends usage to other nodes once the interval has passed; called at each tick.
 	*/
 	tick(now: number): void;
 	/**
-	How each account that has a limit stands.
+	State of each account that has a limit.
 	*/
 	states(now: number): ReadonlyMap<string, LimitState>;
 };
 
 /**
-What sharing is built from.
+Options of `createLimitSharing`.
 */
 export type LimitSharingOptions = {
 	readonly mesh: Pick<Mesh, 'self' | 'usable' | 'others' | 'send'>;
 	/**
-	The accounts of the routes in force; undefined where callers need no key.
+	The accounts of the current routes; undefined if callers need no key.
 	*/
 	readonly clients: () => ClientDirectory | undefined;
 	/**
-	Over which what was let through is held to a limit, in milliseconds.
+	Window over which a limit is enforced, in milliseconds.
 	*/
 	readonly windowMs: number;
 	/**
@@ -61,30 +61,30 @@
 	readonly zones: readonly string[];
 	readonly hasSettled: () => boolean;
 	/**
-	Nodes of all regions, this one included.
+	Number of nodes in all regions, including this one.
 	*/
 	readonly nodes: () => number;
 	/**
-	A number from 0 up to, but without, 1.
+	Random number from 0 (inclusive) to 1 (exclusive).
 	*/
 	readonly randomFraction: () => number;
 };
 
 /**
-How often usage is told, in milliseconds. An account that suddenly sends four times its limit is held to it after two
-or three intervals, in which it gets through some two seconds' worth of it.
+Interval at which usage is sent, in milliseconds. An account that suddenly sends four times its limit is limited after
+two or three intervals, within which about two seconds' worth of its limit is admitted.
 */
 export const usageIntervalMs = 400;
 
-// Its holder adds up the usage of its zone.
-const duty = 'limits';
+// The holder of this role adds up the usage of its zone.
+const role = 'limits';
 
 const admitted: SharedVerdict = {kind: 'admitted'};
 
 /**
-Builds the sharing of one node. Each node tells the holder of its zone, holders tell each other, and each holder tells
-the nodes of its zone: a node sends and receives as much however many nodes there are, and a holder by the nodes of its
-zone and the number of zones.
+Creates the sharing of one node. Each node sends its usage to the role holder of its zone, holders send the sum of their
+zone to each other, and each holder sends the totals to the nodes of its zone. The traffic of a node is independent of the
+number of nodes; that of a holder grows with the nodes of its zone and the number of zones.
 */
 export const createLimitSharing = ({
 	mesh,
@@ -98,7 +98,7 @@
 	const isInOwnZone = ({availabilityZone}: Member) =>
 		availabilityZone === mesh.self().availabilityZone;
 
-	// Nodes that leave are gone for good or come back as new ones; dead ones may be cut off.
+	// Leaving nodes exit or come back as new ones; dead ones may only be unreachable and still admit requests.
 	const zoneReachableFraction = createDerived(mesh.others, (members) => {
 		const zone = members.filter((member) => isInOwnZone(member));
 		const dead = zone.filter(({status}) => status === 'dead').length;
@@ -115,9 +115,9 @@
 	});
 	let nextAt = 0;
 
-	const holders = createZoneRoleHolders(duty, mesh.self, mesh.usable);
+	const holders = createZoneRoleHolders(role, mesh.self, mesh.usable);
 
-	const addUp = (now: number) => {
+	const sendZoneUsage = (now: number) => {
 		const {id, availabilityZone} = mesh.self();
 		const usages = limits.zoneSum(now);
 		const others = holders()
@@ -137,15 +137,15 @@
 		);
 	};
 
-	const tell = (now: number) => {
+	const sendUsage = (now: number) => {
 		const {id, availabilityZone, incarnation} = mesh.self();
-		// What an earlier life of a node let through still counts.
+		// What an earlier incarnation of a node admitted still counts.
 		const from = `${id} ${incarnation}`;
 		const holder = holders().get(availabilityZone);
 		const usages = limits.report(now);
 		if (holder === undefined || holder.id === id) {
 			limits.receiveNodeUsage(from, usages, now);
-			addUp(now);
+			sendZoneUsage(now);
 		} else if (usages.length > 0) {
 			mesh.send([holder], {kind: 'node', from, usages});
 		}
@@ -181,7 +181,7 @@
 			}
 
 			nextAt = now + usageIntervalMs;
-			tell(now);
+			sendUsage(now);
 		},
 		states: (now) =>
 			new Map(
--- a/src/gateway/sharing/load-publisher.ts
+++ b/src/gateway/sharing/load-publisher.ts
@@ -3,26 +3,26 @@
 import type {RegistryMirror} from '../../registry/index.ts';
 
 /**
-States the load of the own zone to the other nodes.
+Publishes the load of this node's zone to the other nodes.
 */
 export type LoadPublisher = {
 	/**
-	States it once the interval is over; called at each tick.
+	Publishes the load once the interval has passed; called at each tick.
 	*/
 	tick(now: number): void;
 };
 
 /**
-How often the load of the own zone is stated, in milliseconds.
+Interval at which the load of the zone is published, in milliseconds.
 */
 export const loadIntervalMs = 500;
 
-// The digest has room for figures that this gateway neither measures nor reads.
+// The digest has fields that this gateway neither measures nor reads.
 const firstTokenUnknown = 0;
 const costUnknown = 0;
 
 /**
-Builds the statement of one node.
+Creates the publisher of one node.
 */
 export const createLoadPublisher = (
 	mesh: Mesh,
@@ -31,7 +31,7 @@
 ): LoadPublisher => {
 	let nextAt = 0;
 
-	const state = (now: number) => {
+	const publish = (now: number) => {
 		const services = mirror.routes()?.document.services ?? [];
 		const loads = services.map(
 			({name}) =>
@@ -54,7 +54,7 @@
 			}
 
 			nextAt = now + loadIntervalMs;
-			state(now);
+			publish(now);
 		},
 	};
 };
--- a/src/gateway/sharing/node-joiner.ts
+++ b/src/gateway/sharing/node-joiner.ts
@@ -3,22 +3,22 @@
 import type {Address, Random} from '../../shared/index.ts';
 
 /**
-Finds other nodes by asking seeds for the members that they know.
+Discovers other nodes by asking seed nodes for the members that they know.
 */
 export type NodeJoiner = {
 	/**
-	Asks once the interval is over; called at each tick.
+	Asks seeds once the interval has passed; called at each tick.
 	*/
 	tick(now: number): void;
 	askNow(): void;
 	/**
-	The seeds have changed: asks at the next tick.
+	Makes the next tick ask, because the seeds have changed.
 	*/
 	reload(): void;
 };
 
 /**
-What a joiner is built from.
+Options of `createNodeJoiner`.
 */
 export type NodeJoinerOptions = {
 	readonly mesh: Mesh;
@@ -28,32 +28,32 @@
 	*/
 	readonly seeds: () => readonly Address[];
 	/**
-	Addresses of this node, which is not asked.
+	Addresses of this node, which are skipped among the seeds.
 	*/
 	readonly ownAddresses: readonly Address[];
 	readonly random: Random;
 };
 
 /**
-How often a node without others asks its seeds, in milliseconds.
+Interval at which a node that knows no other node asks its seeds, in milliseconds.
 */
 export const joinIntervalMs = 500;
 
 /**
-How often a node that knows others asks a seed at the most, in milliseconds, so that groups that started
-apart find each other.
+Minimum interval at which a node that knows others asks a seed, in milliseconds, so that groups of nodes that
+started separately discover each other.
 */
 export const rejoinIntervalMs = 4000;
 
 /**
-What each known node adds to that interval, in milliseconds: all nodes together ask ten times a second,
-however many they are. An answer names all nodes, and among many some are always seen differently, so that what goes
-between regions would grow with the square of their number.
+Rejoin interval for each known node, in milliseconds: all nodes together ask at most ten times a second, independently of
+their number. A response contains all nodes, and with many nodes the views of two of them nearly always differ, so
+that the traffic between regions would otherwise grow with the square of their number.
 */
 export const rejoinPerNodeMs = 100;
 
 /**
-Builds the joiner of one node.
+Creates the joiner of one node.
 */
 export const createNodeJoiner = ({
 	mesh,
@@ -65,7 +65,7 @@
 	let nextAt = 0;
 	const isAlone = () => mesh.lastReceivedAt() === undefined;
 
-	const rejoinAfterMs = () =>
+	const currentRejoinIntervalMs = () =>
 		Math.max(rejoinIntervalMs, mesh.others().length * rejoinPerNodeMs);
 
 	const seedsToAsk = (): readonly Address[] => {
@@ -93,7 +93,7 @@
 				return;
 			}
 
-			nextAt = now + (isAlone() ? joinIntervalMs : rejoinAfterMs());
+			nextAt = now + (isAlone() ? joinIntervalMs : currentRejoinIntervalMs());
 			void ask();
 		},
 		askNow() {
--- a/src/gateway/sharing/node-shares.ts
+++ b/src/gateway/sharing/node-shares.ts
@@ -3,48 +3,48 @@
 import {createDerived, createNodeOrder} from '../../shared/index.ts';
 
 /**
-This node's part of what all nodes share.
+This node's share of resources that all nodes use together.
 */
 export type NodeShares = {
 	/**
-	Whether this node had time to hear of the others.
+	Whether enough time has passed since the start for this node to have learned of the others.
 	*/
 	hasSettled(): boolean;
 	/**
-	Ids of all nodes of the region that were ever heard of, this one included.
+	Ids of all nodes of the region that were ever known, including this one.
 	*/
 	knownNodeIds(): readonly string[];
 	/**
-	How many of them go before this one in the order for a backend server.
+	Rank of this node among them in the order for a backend server, from 0.
 	*/
 	senderRank(server: string): number;
 	/**
-	How many nodes of the region are taken to serve now, this one included.
+	Number of nodes of the region that are assumed to serve now, including this one.
 	*/
 	nodesServing(): number;
 	/**
-	Nodes of all regions that share the slack of the retry budget; infinite while none may use it.
+	Number of nodes of all regions that share the slack of the retry budget; infinite while this node may use none of it.
 	*/
 	retrySharingNodes(): number;
 	/**
-	Connections that this node may hold to one backend server of a service.
+	Connections that this node may open to one backend server of a service.
 	*/
 	connectionsTo(service: Service | undefined, server: string): ConnectionShare;
 };
 
 /**
-A node's part of the connections that a backend server takes.
+A node's share of the connections that a backend server accepts.
 */
 export type ConnectionShare = {
 	readonly maximum: number;
 	/**
-	Whether they rest between two requests; where they may not, each request opens one and closes it.
+	Whether idle connections stay open between requests. Otherwise each request opens a connection and closes it.
 	*/
 	readonly isPersistent: boolean;
 };
 
 /**
-What shares are reckoned from.
+Options of `createNodeShares`.
 */
 export type NodeSharesOptions = {
 	readonly self: string;
@@ -55,37 +55,37 @@
 };
 
 /**
-How long after its start a node has heard of the others, in milliseconds: a few heartbeats. What is
-shared among nodes is used sparingly until then, for after a stop of all nodes none knows another.
+Time after its start until a node has learned of the others, in milliseconds: a few heartbeats. Until then it uses shared
+resources sparingly, because after a stop of all nodes none knows another.
 */
 export const settlingMs = 2500;
 
 /**
-The retry slack is shared among so many nodes at the least, so that nodes that cannot hear of each
-other do not each take all of it.
+Minimum number of nodes among which the retry slack is divided, so that nodes that cannot reach each other do not each
+use all of it.
 */
 export const minimumSharingNodes = 8;
 
 /**
-Nodes of a region that a node takes for granted until it had time to hear of the others. After a
-stop of all nodes each would otherwise send as much as the region can take.
+Number of nodes that a node assumes for its region until it has learned of the others. After a stop of all nodes each
+would otherwise send as much as the whole region may.
 */
 export const assumedNodes = 3;
 
 /**
-Part of the connections of a backend server that all nodes together use.
+Fraction of the connections of a backend server that all nodes together use.
 */
 export const connectionFraction = 0.8;
 
-// Connections to a backend server that states no bound.
+// Maximum connections to a backend server without a configured limit.
 const unboundedConnections = 128;
 
-// Connections to a backend server that a node has at the least, however many nodes share them: one that is busy holds up
-// what comes next.
-const fewestConnections = 2;
+// Minimum connections of a node to a backend server, however many nodes share it: a single connection that is busy delays
+// the next request.
+const minimumConnections = 2;
 
 /**
-Builds the shares of a node that starts now.
+Creates the shares of a node that starts now.
 */
 export const createNodeShares = ({
 	self,
@@ -116,26 +116,27 @@
 				1 + mesh.usableIn(localRegion).length,
 				hasSettled() ? 1 : assumedNodes,
 			),
-		// After a stop of all nodes each knows itself only: none takes of the slack before it had time to
-		// hear of the others, for all of them together could take it many times over.
+		// After a stop of all nodes each knows only itself. No node uses the slack before it has learned of the others,
+		// because all of them together could use many times the slack.
 		retrySharingNodes: () =>
 			hasSettled()
 				? Math.max(1 + mesh.others().length, minimumSharingNodes)
 				: Infinity,
 		connectionsTo(service, server) {
-			const bound = service?.maximumConnections ?? 0;
-			if (bound === 0) {
+			const limit = service?.maximumConnections ?? 0;
+			if (limit === 0) {
 				return {maximum: unboundedConnections, isPersistent: true};
 			}
 
-			const used = bound * connectionFraction;
-			const part = Math.floor(used / knownNodeIds().length);
-			// Two resting connections of each of many nodes are more than a server takes, and it resets what is beyond: only the
-			// first in an order keep theirs.
-			const keepers = Math.floor(used / fewestConnections);
+			const usable = limit * connectionFraction;
+			const share = Math.floor(usable / knownNodeIds().length);
+			// Two idle connections of each of many nodes are more than a server accepts, and it resets those beyond its limit.
+			// Only the first nodes in the order for the server have persistent connections.
+			const persistentNodes = Math.floor(usable / minimumConnections);
 			return {
-				maximum: Math.max(fewestConnections, part),
-				isPersistent: part >= fewestConnections || order.rank(server) < keepers,
+				maximum: Math.max(minimumConnections, share),
+				isPersistent:
+					share >= minimumConnections || order.rank(server) < persistentNodes,
 			};
 		},
 	};
--- a/src/gateway/sharing/node-state.ts
+++ b/src/gateway/sharing/node-state.ts
@@ -57,11 +57,11 @@
 } from './registry-sharing.ts';
 
 /**
-What a node knows of other nodes, of backend servers and of prompts, and what keeps it up to date.
+State of a node about other nodes, backend servers and prompts, and the components that keep it up to date.
 */
 export type NodeState = {
 	/**
-	Milliseconds that only rise.
+	Monotonic clock in milliseconds.
 	*/
 	readonly clock: () => number;
 	readonly random: Random;
@@ -69,12 +69,12 @@
 	readonly regions: readonly string[];
 	readonly regionOf: (availabilityZone: string) => string;
 	/**
-	The copy of the registry, and what keeps it.
+	The copy of the registry, and the component that keeps it up to date.
 	*/
 	readonly mirror: RegistryMirror;
 	readonly registry: RegistrySharing;
 	/**
-	The other nodes, and what is shared with them.
+	The other nodes, the client for calls to them, and what is shared with them.
 	*/
 	readonly mesh: Mesh;
 	readonly peerClient: PeerClient;
@@ -82,7 +82,7 @@
 	readonly prompts: PromptSharing;
 	readonly limits: LimitSharing;
 	/**
-	The backend servers of the own region, and the connections to them.
+	The backend servers of this region, and the client that sends requests to them.
 	*/
 	readonly fleet: BackendFleet;
 	readonly client: UpstreamClient;
@@ -91,46 +91,46 @@
 	*/
 	readonly placement: PlacementView;
 	/**
-	The requests that crash the servers which run them.
+	The requests that crash the servers that run them.
 	*/
 	readonly quarantine: Quarantine;
 	/**
-	The limits that backend servers of the own region name.
+	The limits that backend servers of this region state.
 	*/
 	readonly backendLimits: BackendLimits;
 	/**
-	What backend servers have announced about receiving requests.
+	What backend servers announced: shutdowns and backoff times.
 	*/
 	readonly announcements: ServerAnnouncements;
 	readonly leavingBroadcast: LeavingBroadcast;
 	/**
-	Takes in what backend servers state in their answers.
+	Handles what backend servers state in their responses.
 	*/
 	readonly statements: StatementHandler;
 };
 
 /**
-Who is told when the registry's copy has changed.
+Callbacks of a node's state.
 */
 export type NodeStateCallbacks = {
 	/**
-	Told the bounds on callers of routes that come into force.
+	Called with the caller limits of routes that come into force.
 	*/
 	readonly onLimits: (limits: CallerLimits) => void;
 	/**
-	Told last, once everything else has taken the changes in.
+	Called after all components have applied changes of the registry.
 	*/
 	readonly onChangesApplied: () => void;
 	/**
-	Asked whether a backend server lives.
+	Called to probe whether a backend server is alive.
 	*/
 	readonly onProbeNeeded: (server: string) => void;
 	/**
-	Told of each request that is put in quarantine.
+	Called with the fingerprint of each request that is put in quarantine.
 	*/
 	readonly onQuarantined: (fingerprint: string) => void;
 	/**
-	Told of each statement of a backend server that cannot be read.
+	Called for each statement of a backend server that cannot be parsed.
 	*/
 	readonly onBadStatement: (server: string, fault: StatementFault) => void;
 };
@@ -138,7 +138,7 @@
 const seedRange = 2 ** 31;
 
 /**
-Builds the knowledge of a node that knows nothing yet; nothing runs before its parts are started.
+Creates the empty state of a node; nothing runs before its components are started.
 */
 export const createNodeState = (
 	options: GatewayOptions,
@@ -151,11 +151,11 @@
 	}: NodeStateCallbacks,
 ): NodeState => {
 	const {logger, zones, availabilityZone, bounds} = options;
-	// The fleet comes later, and the clock is read before.
-	let onSlept: (ms: number) => void = () => undefined;
+	// Set once the fleet exists; the clock is read before that.
+	let onSuspended: (ms: number) => void = () => undefined;
 	const clocks = options.clocks ?? machineClocks;
 	const clock = createElapsedClock(clocks, (suspendedMs) => {
-		onSlept(suspendedMs);
+		onSuspended(suspendedMs);
 		logger.warn({suspendedMs}, 'the machine was suspended; ages count it');
 	});
 	const localRegion = zones[availabilityZone] ?? '';
@@ -193,7 +193,7 @@
 				}
 
 				case 'servers-leaving': {
-					hearLeaving(message, clock());
+					receiveLeaving(message, clock());
 					return;
 				}
 
@@ -243,7 +243,7 @@
 	const announcements = createServerAnnouncements({
 		logger,
 		onLeaving({server, incarnationId, source}) {
-			takeIn(mirror.recordShutdown(server, incarnationId));
+			applyChanges(mirror.recordShutdown(server, incarnationId));
 			if (source !== 'node') {
 				leavingBroadcast.recordAnnouncement({server, incarnationId}, clock());
 			}
@@ -260,7 +260,7 @@
 			mesh.send(senders.peers(), message);
 		},
 	});
-	const hearLeaving = ({servers}: ServerLeavingMessage, now: number) => {
+	const receiveLeaving = ({servers}: ServerLeavingMessage, now: number) => {
 		for (const {server, incarnationId} of servers) {
 			leavingBroadcast.recordPeerBroadcast(incarnationId);
 			announcements.recordShutdown({
@@ -315,7 +315,7 @@
 		randomFraction: random.fraction,
 		without: options.without,
 	});
-	onSlept = fleet.shiftClock;
+	onSuspended = fleet.shiftClock;
 	const placement = createPlacementView({mirror, regions, regionOf});
 	const quarantine = createQuarantine({
 		self: options.id,
@@ -328,7 +328,7 @@
 		clock,
 		logger,
 	});
-	const takeIn = createRegistryChanges({
+	const applyChanges = createRegistryChanges({
 		mirror,
 		fleet,
 		client,
@@ -358,7 +358,7 @@
 		clock,
 		logger,
 		onChanges(changes) {
-			takeIn(changes);
+			applyChanges(changes);
 			prompts.refresh();
 			onChangesApplied();
 		},
--- a/src/gateway/sharing/prefill-backlog-sender.ts
+++ b/src/gateway/sharing/prefill-backlog-sender.ts
@@ -3,7 +3,7 @@
 import type {Mesh} from '../../mesh/index.ts';
 
 /**
-What a teller is built from.
+Options of `createPrefillBacklogSender`.
 */
 export type PrefillBacklogSenderOptions = {
 	readonly mesh: Pick<Mesh, 'self' | 'usableIn' | 'send'>;
@@ -12,10 +12,11 @@
 };
 
 /**
-Builds what tells the nodes of the region at once what a server has still to read of this node's long prompts.
+Creates a function that sends the prefill backlog of a server, caused by long prompts of this node, to the nodes of the
+region at once.
 
-An engine that reads a long prompt makes all that comes after it wait, and states nothing of it: where only the node that
-sent the prompt knew, the others would send it their short requests.
+An engine delays all later requests while it processes a long prompt, and its stated load does not show that. If only the
+node that sent the prompt knew of it, the others would send the engine their short requests.
 */
 export const createPrefillBacklogSender = ({
 	mesh,
--- a/src/gateway/sharing/prompt-sharing.ts
+++ b/src/gateway/sharing/prompt-sharing.ts
@@ -24,19 +24,19 @@
 import {rendezvousOrder} from '../../shared/index.ts';
 
 /**
-What this node knows of the prompts that engines keep, and its part in passing that on.
+What this node knows of the prompts in the caches of engines, and its share in distributing that.
 */
 export type PromptSharing = {
 	/**
-	Whether a backend server is known to keep a prompt part.
+	Whether a backend server is known to have a prompt part in its cache.
 	*/
 	isCached(server: string, part: string): boolean;
 	/**
-	Answers another node.
+	Answers a query of another node.
 	*/
 	answer(question: FeedQuery): Promise<FeedAnswer>;
 	/**
-	Forgets backend servers that are gone; to be called when the registry's copy has changed.
+	Removes backend servers that no longer exist; called when the copy of the registry has changed.
 	*/
 	refresh(): void;
 	tick(): void;
@@ -44,11 +44,11 @@
 };
 
 /**
-What sharing is built from.
+Options of `createPromptSharing`.
 */
 export type PromptSharingOptions = {
 	/**
-	Undefined where engines do not tell of their memory.
+	Undefined if engines do not report what their caches hold.
 	*/
 	readonly caches: CacheSource | undefined;
 	readonly without: DisabledMechanisms;
@@ -58,41 +58,41 @@
 	readonly zones: readonly string[];
 	readonly mesh: Pick<Mesh, 'self' | 'usable'>;
 	/**
-	Whether this node had time to hear of the others.
+	Whether enough time has passed since the start for this node to have learned of the others.
 	*/
 	readonly hasSettled: () => boolean;
 	/**
-	The limits that engines name.
+	The limits that engines state.
 	*/
 	readonly backendLimits: Pick<BackendLimits, 'enginePollIntervalMs'>;
 	/**
-	The rests that engines asked this node for.
+	The backoff times that engines requested from this node.
 	*/
 	readonly backoffs: Pick<ServerBackoffs, 'remainingMs'>;
 	/**
-	Takes in what engines state in their answers.
+	Handles what engines state in their responses.
 	*/
 	readonly statements: StatementHandler;
 	/**
-	Milliseconds that only rise.
+	Monotonic clock in milliseconds.
 	*/
 	readonly clock: () => number;
 	readonly logger: Logger;
 };
 
 /**
-Engines that a node reads before it knows who has the duty to. After a stop of all nodes each of them does so:
-with no bound, the calls grow with nodes times engines.
+Maximum number of engines that a node reads before it knows which node holds the role. After a stop of all nodes each
+of them does so; without the limit the number of calls would be nodes times engines.
 */
 export const startupEngineLimit = 4;
 
-// Its holder reads the engines of its zone, and follows the holders of the other zones.
-const duty = 'prompts';
+// The holder of this role reads the engines of its zone and follows the holders of the other zones.
+const role = 'prompts';
 
 /**
-Builds the sharing of one node. One node a zone reads the zone's engines; the holders of the duty follow
-each other, and every other node follows the holder of its zone. So work and bytes of a node do not
-grow with the number of nodes.
+Creates the sharing of one node. One node of each zone holds the role: it reads the engines of the zone and follows the
+holders of the other zones. Every other node follows the holder of its zone, so that the work and traffic of a node do
+not grow with the number of nodes.
 */
 export const createPromptSharing = (
 	options: PromptSharingOptions,
@@ -107,7 +107,7 @@
 		isInZone: (server) => zoneOf(server) === availabilityZone,
 	});
 
-	const holders = createZoneRoleHolders(duty, mesh.self, mesh.usable);
+	const holders = createZoneRoleHolders(role, mesh.self, mesh.usable);
 	const isHolder = (): boolean =>
 		holders().get(availabilityZone)?.id === mesh.self().id;
 
@@ -126,8 +126,8 @@
 			.toArray();
 	};
 
-	// A node that has just started does not know yet who has the duty, and reads some engines for itself
-	// meanwhile: after a stop of all nodes it would otherwise have long prompts read again that they keep.
+	// A node that has just started does not know yet which node holds the role, and meanwhile reads some engines itself.
+	// After a stop of all nodes it would otherwise send long prompts to engines that do not have them in their caches.
 	const enginesToRead = (): readonly CacheEngine[] => {
 		if (options.hasSettled() || without.has('early-cache-events')) {
 			return isHolder() ? enginesOfZone() : [];
@@ -187,8 +187,8 @@
 		isCached: map.holds,
 		answer: feed.answer,
 		refresh() {
-			const gone = map.servers().filter((id) => !mirror.servers().has(id));
-			feed.publish(gone.map((id) => [id, '', 0]));
+			const removed = map.servers().filter((id) => !mirror.servers().has(id));
+			feed.publish(removed.map((id) => [id, '', 0]));
 		},
 		tick() {
 			reader?.tick();
--- a/src/gateway/sharing/registry-changes.ts
+++ b/src/gateway/sharing/registry-changes.ts
@@ -9,7 +9,7 @@
 import type {PlacementView} from '../choosing/index.ts';
 
 /**
-What takes in changes of the registry.
+Options of `createRegistryChanges`.
 */
 export type RegistryChangesOptions = {
 	readonly mirror: RegistryMirror;
@@ -21,19 +21,19 @@
 	readonly clock: () => number;
 	readonly logger: Logger;
 	/**
-	Told the bounds on callers of routes that come into force.
+	Called with the caller limits of routes that come into force.
 	*/
 	readonly onLimits: (limits: CallerLimits) => void;
 	/**
-	Told that a server of the own region is not used any more: because it leaves or its zone is evacuated, or because
-	its entry has gone or names a later start.
+	Called when a server of this region is no longer used. `isPlanned` is true if it is leaving or its zone is evacuated, and
+	false if its entry was removed or states a later start.
 	*/
-	readonly onServerGone: (life: string, isPlanned: boolean) => void;
+	readonly onServerGone: (incarnationId: string, isPlanned: boolean) => void;
 };
 
 /**
-Builds what is called with changes once the mirror has them: it brings the fleet and the view of
-placement up to date.
+Creates the function that is called with changes once the mirror has applied them. It updates the fleet and the placement
+view.
 */
 export const createRegistryChanges = (
 	options: RegistryChangesOptions,
@@ -41,17 +41,17 @@
 	const {fleet, placement} = options;
 	return (changes) => {
 		for (const change of changes) {
-			noteChange(options, change);
+			logChange(options, change);
 		}
 
 		placement.refresh();
 		syncFleet(options);
-		// After the fleet has its servers, for those of a zone taken back come in anew.
-		fleet.markPossiblyCold(serversTakenBack(fleet, changes));
+		// After `syncFleet`, which adds the servers of a zone whose evacuation has ended.
+		fleet.markPossiblyCold(serversOfRestoredZones(fleet, changes));
 	};
 };
 
-const noteChange = (
+const logChange = (
 	{mirror, logger, onLimits}: RegistryChangesOptions,
 	change: MirrorChange,
 ): void => {
@@ -88,7 +88,7 @@
 					revisionBefore: from.revision,
 					...facts,
 				},
-				'registry came back from an earlier copy',
+				'registry was restored from an earlier copy',
 			);
 		}
 	}
@@ -110,7 +110,7 @@
 			regionOf(server.availabilityZone) === localRegion &&
 			!mirror.isEvacuated(server.availabilityZone),
 	);
-	const lives = new Map(
+	const incarnationIds = new Map(
 		fleet.ids().map((id) => [id, incarnationIdOf(fleet.server(id)!)]),
 	);
 	const gone = new Set(fleet.ids());
@@ -123,35 +123,35 @@
 		logger.info({servers: restarted.join(' ')}, 'backend servers restarted');
 	}
 
-	// Connections to an earlier life lead nowhere, and its address may have changed.
+	// Connections to an earlier incarnation are useless, and the address of the server may have changed.
 	for (const id of [...gone, ...restarted]) {
 		client.forget(`server ${id}`);
 		const now = mirror.servers().get(id);
-		const life = lives.get(id)!;
+		const incarnationId = incarnationIds.get(id)!;
 		onServerGone(
-			life,
-			now !== undefined && incarnationIdOf(now.server) === life,
+			incarnationId,
+			now !== undefined && incarnationIdOf(now.server) === incarnationId,
 		);
 	}
 };
 
-// Servers of a zone that is taken back may have turned cold meanwhile.
-const serversTakenBack = (
+// Servers of a zone whose evacuation has ended may be cold again.
+const serversOfRestoredZones = (
 	fleet: BackendFleet,
 	changes: readonly MirrorChange[],
 ): readonly string[] => {
-	const zonesBack = new Set(
+	const restoredZones = new Set(
 		changes.flatMap((change) =>
 			change.kind === 'evacuation' && !change.isActive
 				? [change.availabilityZone]
 				: [],
 		),
 	);
-	return zonesBack.size === 0
+	return restoredZones.size === 0
 		? []
 		: fleet
 				.ids()
 				.filter((id) =>
-					zonesBack.has(fleet.server(id)?.availabilityZone ?? ''),
+					restoredZones.has(fleet.server(id)?.availabilityZone ?? ''),
 				);
 };
--- a/src/gateway/sharing/registry-sharing.ts
+++ b/src/gateway/sharing/registry-sharing.ts
@@ -20,32 +20,32 @@
 } from '../../shared/index.ts';
 
 /**
-Keeps this node's copy of the registry up to date, and its part in passing it on to other nodes.
+Keeps this node's copy of the registry up to date and relays it to other nodes.
 */
 export type RegistrySharing = {
 	start(): void;
 	stop(): Promise<void>;
 	tick(now: number): void;
 	/**
-	Says what another node has of the registry; a node that is behind asks it.
+	Processes the registry stamp of another node. If this node is behind, it asks that node.
 	*/
 	receiveStamp(stamp: RegistryStamp, from: Address): void;
 	/**
-	Milliseconds since the registry last confirmed the copy; infinite before it did.
+	Milliseconds since the registry last confirmed the copy; infinite before the first time.
 	*/
 	ageMs(): number;
 	/**
-	Answers another node with what came after a position, at once.
+	Answers another node at once with the changes after a position.
 	*/
 	answer(after: RegistryCursor): RegistryAnswer;
 	/**
-	Answers another node with what came after a position; held while there is nothing.
+	Answers another node with the changes after a position. The response is held until there are any.
 	*/
 	relayedAnswer(after: RegistryCursor): Promise<RelayedAnswer>;
 };
 
 /**
-What sharing is built from.
+Options of `createRegistrySharing`.
 */
 export type RegistrySharingOptions = {
 	readonly without: DisabledMechanisms;
@@ -55,27 +55,27 @@
 	readonly peerClient: PeerClient;
 	readonly localRegion: string;
 	/**
-	Whether this node had time to hear of the others.
+	Whether enough time has passed since the start for this node to have learned of the others.
 	*/
 	readonly hasSettled: () => boolean;
 	readonly random: Random;
 	readonly clock: () => number;
 	readonly logger: Logger;
 	/**
-	Told what has changed once the mirror has it.
+	Called with changes once the mirror has applied them.
 	*/
 	readonly onChanges: (changes: readonly MirrorChange[]) => void;
 };
 
-// Its holders read the registry and relay it to the others of their zone.
-const duty = 'registry';
+// The holders of this role read the registry and relay it to the other nodes of their zone.
+const role = 'registry';
 
-// A second reader would double the calls and save nothing: a node whose relay fails reads the registry directly.
+// A second reader would double the calls without a benefit: a node whose relay fails reads the registry directly.
 const readersPerZone = 1;
 
 /**
-Builds the sharing of one node; nothing is asked before `start`. One node a zone reads the registry,
-and the others of the zone follow it by way of that one.
+Creates the sharing of one node; nothing is requested before `start`. One node of each zone reads the registry and
+relays it to the other nodes of the zone.
 */
 export const createRegistrySharing = (
 	options: RegistrySharingOptions,
@@ -83,22 +83,24 @@
 	const {mirror, mesh, peerClient, random, clock} = options;
 
 	const pickPeer = (): Address | undefined => {
-		const near = mesh.usableIn(options.localRegion);
+		const localPeers = mesh.usableIn(options.localRegion);
 		const peers =
-			near.length > 0 && random.below(2) === 0 ? near : mesh.usable();
+			localPeers.length > 0 && random.below(2) === 0
+				? localPeers
+				: mesh.usable();
 		return peers.length === 0
 			? undefined
 			: peers[random.below(peers.length)]!.peerAddress;
 	};
 
-	const relayToAsk = (): Address | undefined => {
+	const selectRelay = (): Address | undefined => {
 		if (options.without.has('registry-relay')) {
 			return undefined;
 		}
 
 		const self = mesh.self();
 		const holders = options.hasSettled()
-			? roleHolders(duty, self, mesh.usable(), readersPerZone)
+			? roleHolders(role, self, mesh.usable(), readersPerZone)
 			: [self];
 		return holders.some(({id}) => id === self.id)
 			? undefined
@@ -110,9 +112,9 @@
 		registry: options.source,
 		askPeer: async (peer, after) => peerClient.registryAfter(peer, after),
 		pickPeer,
-		relay: relayToAsk,
+		relay: selectRelay,
 		askRelay: async (peer, after) => peerClient.relayedAfter(peer, after),
-		// Callers wait for the first routes.
+		// No startup pause before the first routes are known, because callers wait for them.
 		hasJustStarted: () =>
 			!options.hasSettled() && mirror.routes() !== undefined,
 		clock,
--- a/tests/gateway/sharing/limit-sharing.test.ts
+++ b/tests/gateway/sharing/limit-sharing.test.ts
@@ -19,7 +19,7 @@
 
 type Sent = {readonly from: string; readonly to: string; readonly kind: string};
 
-// Nodes of two zones whose messages arrive at once.
+// Creates nodes of two zones whose messages arrive at once.
 const setUp = (
 	zonesOfNodes: readonly string[],
 	account = accountOf({limit}),
@@ -73,7 +73,7 @@
 	};
 };
 
-test('what one node lets through counts at every other, in other zones too', () => {
+test('requests admitted by one node count at all others, in other zones too', () => {
 	const {admit, turn} = setUp(['zone-a', 'zone-a', 'zone-b', 'zone-b']);
 	turn();
 	turn();
@@ -87,7 +87,7 @@
 	}
 });
 
-test('a node tells the one of its zone that adds up, and hears from it; only those that add up speak between zones', () => {
+test('nodes exchange messages with the role holder of their zone, and only holders send messages between zones', () => {
 	const {admit, turn, sent, members} = setUp([
 		'zone-a',
 		'zone-a',
@@ -114,7 +114,7 @@
 	}
 });
 
-test('without limits nothing is told, and everything is let through', () => {
+test('without limits nothing is sent, and everything is admitted', () => {
 	const {admit, turn, sent} = setUp(['zone-a', 'zone-b'], accountOf());
 	for (let index = 0; index < 50; index += 1) {
 		assert.equal(admit(0, 17_000), 'admitted');
@@ -124,7 +124,7 @@
 	assert.deepEqual(sent, []);
 });
 
-test('requests without tokens count what the account states for them', () => {
+test('requests that state no tokens count as the plain tokens of the account', () => {
 	const {admit, nodes, turn} = setUp(['zone-a', 'zone-b']);
 	turn();
 	admit(0, undefined);
--- a/tests/gateway/sharing/node-joiner.test.ts
+++ b/tests/gateway/sharing/node-joiner.test.ts
@@ -8,8 +8,8 @@
 
 const spanMs = 40_000;
 
-// Questions to seeds by one of so many nodes, all of which are known.
-const questionsOf = (nodes: number): number => {
+// Returns how often one of this many nodes, all of which are known, asks a seed.
+const callsBy = (nodes: number): number => {
 	const others = Array.from({length: nodes - 1}, (_, index) =>
 		memberOf(`node-${index + 2}`, 'zone-a'),
 	);
@@ -19,16 +19,16 @@
 		lastReceivedAt: () => 0,
 		mergeMembers: () => undefined,
 	};
-	let asked = 0;
-	const questions: Partial<PeerClient> = {
+	let calls = 0;
+	const peerClient: Partial<PeerClient> = {
 		async members() {
-			asked += 1;
+			calls += 1;
 			return [];
 		},
 	};
 	const joiner = createNodeJoiner({
 		mesh: mesh as Mesh,
-		peerClient: questions as PeerClient,
+		peerClient: peerClient as PeerClient,
 		seeds: () => ['10.0.0.9:1', '10.0.0.8:1'],
 		ownAddresses: [],
 		random: {below: () => 0, fraction: () => 0},
@@ -37,11 +37,11 @@
 		joiner.tick(now);
 	}
 
-	return asked;
+	return calls;
 };
 
-test('seeds are asked as often by all nodes together, however many there are', (t: TestContext) => {
-	t.assert.strictEqual(questionsOf(9), spanMs / rejoinIntervalMs);
-	t.assert.ok(questionsOf(195) * 195 <= (spanMs / 1000) * 10 + 195);
-	t.assert.ok(questionsOf(195) >= 2);
+test('the rate at which all nodes together ask seeds does not depend on their number', (t: TestContext) => {
+	t.assert.strictEqual(callsBy(9), spanMs / rejoinIntervalMs);
+	t.assert.ok(callsBy(195) * 195 <= (spanMs / 1000) * 10 + 195);
+	t.assert.ok(callsBy(195) >= 2);
 });
--- a/tests/gateway/sharing/node-shares.test.ts
+++ b/tests/gateway/sharing/node-shares.test.ts
@@ -12,10 +12,10 @@
 
 const nodeOf = (index: number) => memberOf(`node-${index}`, 'zone');
 
-// A node that has heard of the others named.
+// Creates the shares of a node that knows the given others.
 const sharesOf = (
 	index: number,
-	heardOf: readonly number[],
+	knownOthers: readonly number[],
 	now: () => number,
 ) =>
 	createNodeShares({
@@ -23,36 +23,36 @@
 		localRegion: 'region',
 		regionOf: () => 'region',
 		mesh: {
-			others: () => heardOf.map((other) => nodeOf(other)),
-			usableIn: () => heardOf.map((other) => nodeOf(other)),
+			others: () => knownOthers.map((other) => nodeOf(other)),
+			usableIn: () => knownOthers.map((other) => nodeOf(other)),
 		} as unknown as Mesh,
 		clock: now,
 	});
 
 const slack = 60;
 
-// What all nodes together take of the slack when each retries as often as it may.
-const takenByAll = (
+// Returns how much of the slack all nodes together use when each retries as often as it may.
+const usedByAll = (
 	views: ReadonlyArray<readonly number[]>,
 	ageMs: number,
 ): number => {
 	let now = 0;
-	let taken = 0;
-	const nodes = views.map((heardOf, index) => ({
-		shares: sharesOf(index, heardOf, () => now),
+	let used = 0;
+	const nodes = views.map((knownOthers, index) => ({
+		shares: sharesOf(index, knownOthers, () => now),
 		budget: createWindowRetryBudget({ratio: 0, windowMs: 10_000, slack}),
 	}));
 	now = ageMs;
 	for (const {shares, budget} of nodes) {
 		while (budget.tryTake('service', shares.retrySharingNodes(), now)) {
-			taken += 1;
+			used += 1;
 		}
 	}
 
-	return taken;
+	return used;
 };
 
-test('nodes that have just started do not use more than the slack, whoever they have heard of', () => {
+test('nodes that have just started do not use more than the slack, whichever nodes they know', () => {
 	const views = fc.integer({min: 1, max: 70}).chain((count) =>
 		fc.array(fc.array(fc.integer({min: 0, max: count - 1}), {maxLength: 5}), {
 			minLength: count,
@@ -61,22 +61,22 @@
 	);
 	fc.assert(
 		fc.property(views, fc.integer({min: 0, max: settlingMs}), (all, age) => {
-			assert.ok(takenByAll(all, age) <= slack);
+			assert.ok(usedByAll(all, age) <= slack);
 		}),
 	);
 });
 
-test('nodes that have heard of each other share the slack', () => {
+test('nodes that know each other share the slack', () => {
 	fc.assert(
 		fc.property(fc.integer({min: 1, max: 70}), (count) => {
 			const all = Array.from({length: count}, (_, index) => index);
 			const views = all.map((self) => all.filter((other) => other !== self));
-			assert.ok(takenByAll(views, settlingMs + 1) <= slack);
+			assert.ok(usedByAll(views, settlingMs + 1) <= slack);
 		}),
 	);
 });
 
-test('all nodes together keep no more connections to a server than it takes, however many they are', () => {
+test('all nodes together hold no more persistent connections to a server than it accepts', () => {
 	fc.assert(
 		fc.property(
 			fc.integer({min: 1, max: 380}),
@@ -85,7 +85,7 @@
 			(count, maximumConnections, server) => {
 				const all = Array.from({length: count}, (_, index) => index);
 				const service = serviceOf({maximumConnections});
-				let kept = 0;
+				let held = 0;
 				for (const self of all) {
 					const others = all.filter((other) => other !== self);
 					const {maximum, isPersistent} = sharesOf(
@@ -94,10 +94,10 @@
 						() => 0,
 					).connectionsTo(service, server);
 					assert.ok(maximum > 0);
-					kept += isPersistent ? maximum : 0;
+					held += isPersistent ? maximum : 0;
 				}
 
-				assert.ok(kept <= maximumConnections, `${kept} kept by ${count}`);
+				assert.ok(held <= maximumConnections, `${held} held by ${count}`);
 			},
 		),
 		{numRuns: 30},
--- a/tests/gateway/sharing/prompt-sharing.test.ts
+++ b/tests/gateway/sharing/prompt-sharing.test.ts
@@ -61,11 +61,11 @@
 	engines = 1,
 ) => {
 	const self = memberOf('node-2', 'zone-a');
-	const asked: string[] = [];
-	const followed: string[] = [];
-	const questions: Partial<PeerClient> = {
+	const readEngines: string[] = [];
+	const followedScopes: string[] = [];
+	const peerClient: Partial<PeerClient> = {
 		async promptsAfter(_address, {scope}): Promise<FeedAnswer | undefined> {
-			followed.push(scope);
+			followedScopes.push(scope);
 			return undefined;
 		},
 	};
@@ -81,7 +81,7 @@
 		backendLimits: {enginePollIntervalMs: () => 0},
 		caches: {
 			async events({id}) {
-				asked.push(id);
+				readEngines.push(id);
 				return {
 					kind: 'events',
 					epoch: 'one',
@@ -93,19 +93,19 @@
 		},
 		without,
 		mirror: mirrorWithEngines(engines),
-		peerClient: questions as PeerClient,
+		peerClient: peerClient as PeerClient,
 		availabilityZone: 'zone-a',
 		zones: ['zone-a', 'zone-b'],
 		mesh: {self: () => self, usable: () => others},
 		hasSettled: () => hasSettled,
 		logger: createLogger('test'),
 	});
-	return {sharing, asked, followed};
+	return {sharing, readEngines, followedScopes};
 };
 
 const none: ReadonlySet<'early-cache-events'> = new Set();
 
-test('a node that has just started asks the engines of its zone, whoever has the duty', async (t: TestContext) => {
+test('a node that has just started reads the engines of its zone, whichever node holds the role', async (t: TestContext) => {
 	const {sharing} = sharingOf(none, false);
 	t.after(sharing.stop);
 	sharing.tick();
@@ -113,7 +113,7 @@
 	t.assert.ok(sharing.isCached('engine-1', 'part'));
 });
 
-test('once nodes know of each other, one of the zone asks; switched off, nobody asks earlier', (t: TestContext) => {
+test('once settled only the role holder reads engines, and before that no node does with the mechanism disabled', (t: TestContext) => {
 	const settled = sharingOf(none, true);
 	const late = sharingOf(new Set(['early-cache-events']), false);
 	for (const {sharing} of [settled, late]) {
@@ -121,17 +121,17 @@
 		sharing.tick();
 	}
 
-	// The duty is another node's by the hash of the three names.
-	t.assert.deepStrictEqual(settled.asked, []);
-	t.assert.deepStrictEqual(late.asked, []);
+	// Rendezvous hashing assigns the role to another node of the zone.
+	t.assert.deepStrictEqual(settled.readEngines, []);
+	t.assert.deepStrictEqual(late.readEngines, []);
 });
 
-test('a node that has just started asks few engines, and no other zone', (t: TestContext) => {
-	const {sharing, asked, followed} = sharingOf(none, false, 19);
+test('a node that has just started reads a limited number of engines and follows no other zone', (t: TestContext) => {
+	const {sharing, readEngines, followedScopes} = sharingOf(none, false, 19);
 	t.after(sharing.stop);
 	sharing.tick();
-	t.assert.strictEqual(new Set(asked).size, startupEngineLimit);
-	t.assert.strictEqual(asked.length, startupEngineLimit);
-	// It follows the holder of its own zone for all engines, and no holder for those of another zone.
-	t.assert.deepStrictEqual(followed, ['all']);
+	t.assert.strictEqual(new Set(readEngines).size, startupEngineLimit);
+	t.assert.strictEqual(readEngines.length, startupEngineLimit);
+	// It follows the role holder of its zone for all engines, and no holder of another zone.
+	t.assert.deepStrictEqual(followedScopes, ['all']);
 });
