--- a/src/gateway/client-limit-log.ts
+++ b/src/gateway/client-limit-log.ts
@@ -2,30 +2,30 @@
 import type {Logger} from '../logging/index.ts';
 
 /**
-Writes down when a client account begins to be limited, and when that ends.
+Logs when a client account begins to be limited, and when that ends.
 */
 export type ClientLimitLog = {
 	/**
-	An account was let through, or not.
+	Records whether a request of an account was admitted.
 	*/
 	record(account: string, verdict: SharedVerdict, now: number): void;
 	/**
-	Finds accounts that are not limited any more; called at each tick.
+	Logs accounts that are no longer limited; called at each tick.
 	*/
 	tick(now: number): void;
 };
 
 /**
-An account that was not limited for so long is free again, in milliseconds: as long as its requests come back after a
-refusal, so that one line says how long it was.
+Time without a refusal after which an account is no longer considered limited, in milliseconds. Refused requests are
+retried within this time, so that one line reports how long the account was limited.
 */
 export const unlimitedAfterMs = 5000;
 
 type Limited = {readonly since: number; lastAt: number; refused: number};
 
 /**
-Builds a log in which no account is limited: two lines at the most for an account in `freeAfterMs`, however many
-requests it sends.
+Creates a log in which no account is limited. It writes at most two lines per account in `unlimitedAfterMs`, however many
+requests the account sends.
 */
 export const createClientLimitLog = (
 	logger: Logger,
@@ -54,10 +54,10 @@
 				return;
 			}
 
-			const known = limited.get(account);
-			if (known) {
-				known.lastAt = now;
-				known.refused += 1;
+			const entry = limited.get(account);
+			if (entry) {
+				entry.lastAt = now;
+				entry.refused += 1;
 			} else {
 				begin(account, now);
 			}
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -3,21 +3,21 @@
 import type {Prompt, Route} from '../routes/index.ts';
 
 /**
-A request that was read whole and has its route.
+A request that was received with its whole body and has a route.
 */
 export type Exchange = {
 	readonly requestId: string;
 	readonly method: string;
 	/**
-	Host that it was sent for, as it came.
+	Host header, as received.
 	*/
 	readonly host: string;
 	/**
-	Path and query, as they came.
+	Path and query, as received.
 	*/
 	readonly target: string;
 	/**
-	Names and values in turn; without what is of one connection only, and without reserved headers.
+	Names and values alternately, without hop-by-hop and reserved headers.
 	*/
 	readonly headers: readonly string[];
 	readonly body: Buffer | undefined;
@@ -25,29 +25,29 @@
 	readonly service: string;
 	readonly prompt: Prompt | undefined;
 	/**
-	The account that asks for it; undefined where callers need no key.
+	The account that sent the request; undefined if callers need no key.
 	*/
 	readonly client: RequestClient | undefined;
 	/**
-	When it had been read, by this node's clock in milliseconds, like all times here.
+	When the request had been received, by this node's clock in milliseconds, like all times here.
 	*/
 	readonly receivedAt: number;
 	/**
-	When it is answered at the latest: the caller's deadline or the route's timeout.
+	Deadline for the response: that of the caller or the timeout of the route.
 	*/
 	readonly expiresAt: number;
 	/**
-	The last event that the caller has of a stream that it takes up again.
+	Id of the last event that the caller received of a stream that it resumes.
 	*/
 	readonly lastEventId: string | undefined;
 	/**
-	Given for a request that another node sent here.
+	Set for a request that another node forwarded.
 	*/
 	readonly hop: Hop | undefined;
 };
 
 /**
-The client account of a request, as it was found by the caller's key.
+The client account of a request, as looked up by the caller's key.
 */
 export type RequestClient = {
 	readonly name: string;
@@ -58,44 +58,44 @@
 };
 
 /**
-What another node says of a request that it sends here.
+What the forwarding node states about a request.
 */
 export type Hop = {
 	readonly origin: string;
 	/**
-	Backend servers that failed the request already.
+	Backend servers at which the request has already failed.
 	*/
 	readonly excluded: readonly string[];
 	/**
-	Whether it may wait here for room.
+	Whether the request may wait here for capacity.
 	*/
 	readonly canWait: boolean;
 };
 
 /**
-How an answer leaves this node.
+Destination of the response to a request.
 */
 export type ResponseSink = {
 	/**
 	Sends the head.
 
-	@param server the backend server whose answer it is.
+	@param server The backend server that responded.
 	*/
 	begin(status: number, headers: readonly string[], server: string): void;
 	/**
-	Returns false when the receiver is slow; `onDrain` is called once it can take more.
+	Returns false when the receiver is slow; a callback of `onDrain` is called once more can be written.
 	*/
 	write(chunk: Buffer): boolean;
 	end(chunk?: Buffer): void;
 	/**
-	Ends the connection without an end of the answer.
+	Closes the connection without completing the response.
 	*/
 	abort(): void;
 	/**
 	Refuses the request.
 
-	@param tried The backend servers that it was sent to.
-	@param availableInMs When a server may be sent it, where that is known and not predicted; for another node.
+	@param tried The backend servers to which the request was sent.
+	@param availableInMs Time until a server may be sent the request, if it is known and not predicted; for the forwarding node.
 	*/
 	refuse(
 		error: GatewayError,
@@ -115,18 +115,18 @@
 	readonly reason: string;
 	readonly outcome: string;
 	/**
-	What was tried, in order.
+	Steps of the delivery, in order.
 	*/
 	readonly steps: readonly string[];
 	readonly firstByteMs: number | undefined;
 	readonly totalMs: number;
 	readonly waitedMs: number;
 	/**
-	Between two pieces of a stream.
+	Longest time between two chunks of a stream.
 	*/
 	readonly longestPauseMs: number;
 	/**
-	Whether it was not sent on because servers crashed each time that they ran it.
+	Whether the request was not sent because servers crashed each time that they ran it.
 	*/
 	readonly isQuarantined: boolean;
 };
--- a/src/gateway/fingerprint-of-exchange.ts
+++ b/src/gateway/fingerprint-of-exchange.ts
@@ -1,15 +1,15 @@
 import {fingerprintOf} from '../quarantine/index.ts';
 import type {Exchange} from './exchange.ts';
 
-const known = new WeakMap<Exchange, string>();
+const fingerprints = new WeakMap<Exchange, string>();
 
 /**
-The fingerprint of a request, worked out when it is first asked for: of nearly all requests it never is.
+Returns the fingerprint of a request. It is computed on first use, because nearly all requests never need it.
 */
 export const fingerprintOfExchange = (exchange: Exchange): string => {
 	const fingerprint =
-		known.get(exchange) ??
+		fingerprints.get(exchange) ??
 		fingerprintOf({...exchange, client: exchange.client?.name});
-	known.set(exchange, fingerprint);
+	fingerprints.set(exchange, fingerprint);
 	return fingerprint;
 };
--- a/src/gateway/gateway-observer.ts
+++ b/src/gateway/gateway-observer.ts
@@ -7,66 +7,66 @@
 import {fingerprintOfExchange} from './fingerprint-of-exchange.ts';
 
 /**
-Writes what happened to requests to log and metrics.
+Records the outcome of requests in the log and in metrics.
 */
 export type GatewayObserver = {
 	record(record: DeliveryRecord): void;
 	/**
-	A request that ended before it had a route.
+	Records a request that ended before it had a route.
 	*/
 	rejected(requestId: string, reason: string, status: number): void;
 	/**
-	A client account was let through, or not.
+	Records whether a request of a client account was admitted.
 	*/
 	admission(account: string, verdict: SharedVerdict, now: number): void;
 	/**
-	A backend server stated something about itself that cannot be read.
+	Records a statement of a backend server that cannot be parsed.
 	*/
 	badStatement(server: string, fault: StatementFault): void;
 	/**
-	Counts and lines that bound themselves by time; called at each tick.
+	Renews the log line budget and logs accounts that are no longer limited; called at each tick.
 	*/
 	tick(now: number): void;
 	/**
-	All figures in the text format of Prometheus.
+	All metrics in the Prometheus text format.
 	*/
 	metrics(): Promise<string>;
 };
 
 /**
-What an observer is built from.
+Options of `createGatewayObserver`.
 */
 export type GatewayObserverOptions = {
 	readonly logger: Logger;
 	readonly gauges: Readonly<Record<string, () => number>>;
 	/**
-	Age of the routes and of the registry's copy, in milliseconds, for log lines.
+	Versions and ages, in milliseconds, of the routes and the registry's copy; added to log lines about requests.
 	*/
 	readonly logContext: () => Readonly<Record<string, number | string>>;
 	/**
-	How the client accounts stand that have a limit.
+	State of each client account that has a limit.
 	*/
 	readonly limitStates: () => ReadonlyMap<string, LimitState>;
 };
 
 /**
-Lines about requests in a second at the most. Lines of answered requests are left out first.
+Maximum number of log lines about requests per second. Lines about answered requests are dropped first.
 */
 export const linesPerSecond = 40;
 
 /**
-Sampling of answered requests in the log: one in this number.
+Sampling of answered requests in the log: one in this many is logged.
 */
 export const answeredSample = 50;
 
 const secondMs = 1000;
-// Upper ends of the latency classes, in milliseconds.
+// Upper bounds of the latency histogram buckets, in milliseconds.
 const latencyBuckets = [
 	10, 25, 50, 100, 200, 400, 800, 1600, 3200, 6400, 12_800,
 ];
 
 /**
-Builds an observer.
+Creates an observer.
 */
 export const createGatewayObserver = (
 	options: GatewayObserverOptions,
@@ -147,7 +147,7 @@
 		registers: [registry],
 	});
 	for (const [name, read] of Object.entries(options.gauges)) {
-		// A gauge enters itself into its registry.
+		// A gauge registers itself with its registry.
 		// eslint-disable-next-line no-new -- nothing else needs the object
 		new Gauge({
 			name: `quillford_${snakeCase(name)}`,
@@ -166,12 +166,12 @@
 	let refilledAt = 0;
 	let answered = 0;
 
-	const isWorthLine = (record: DeliveryRecord): boolean => {
+	const shouldLog = (record: DeliveryRecord): boolean => {
 		if (record.result !== 'answered' || record.status >= 500) {
 			return linesLeft > 0;
 		}
 
-		// The last half of the lines is kept for requests that failed or came late.
+		// Half of the lines is reserved for requests that failed or were late.
 		if (isLate(record)) {
 			return linesLeft > linesPerSecond / 4;
 		}
@@ -180,9 +180,9 @@
 		return answered % answeredSample === 0 && linesLeft > linesPerSecond / 2;
 	};
 
-	// A server may make the same mistake in each answer: half of the lines is left for requests.
-	const warnSparingly = (
-		facts: Readonly<Record<string, string>>,
+	// A server may repeat the same fault in each response, so half of the lines is reserved for requests.
+	const warnWithinBudget = (
+		fields: Readonly<Record<string, string>>,
 		message: string,
 	) => {
 		if (linesLeft <= linesPerSecond / 2) {
@@ -190,12 +190,12 @@
 		}
 
 		linesLeft -= 1;
-		logger.warn(facts, message);
+		logger.warn(fields, message);
 	};
 
-	const line = (record: DeliveryRecord) => {
+	const logRequest = (record: DeliveryRecord) => {
 		const {exchange} = record;
-		const facts = {
+		const fields = {
 			requestId: exchange.requestId,
 			route: exchange.route.name,
 			service: exchange.service,
@@ -204,7 +204,7 @@
 			status: record.status,
 			outcome: record.outcome,
 			reason: record.reason,
-			// By it the request is found again under its other ids, and among those of a server that crashed.
+			// Identifies the request under its other ids, and among the requests of a server that crashed.
 			fingerprint:
 				record.isQuarantined || record.outcome === 'unknown'
 					? fingerprintOfExchange(exchange)
@@ -219,9 +219,9 @@
 			...options.logContext(),
 		};
 		if (record.result === 'answered') {
-			logger.info(facts, 'request answered');
+			logger.info(fields, 'request answered');
 		} else {
-			logger.warn(facts, 'request failed');
+			logger.warn(fields, 'request failed');
 		}
 	};
 
@@ -249,9 +249,9 @@
 				pause.observe({route: route.name}, record.longestPauseMs);
 			}
 
-			if (isWorthLine(record)) {
+			if (shouldLog(record)) {
 				linesLeft -= 1;
-				line(record);
+				logRequest(record);
 			} else if (record.result !== 'answered') {
 				droppedLines.inc();
 			}
@@ -274,7 +274,7 @@
 		},
 		badStatement(server, {kind, reason}) {
 			badStatements.inc({kind});
-			warnSparingly(
+			warnWithinBudget(
 				{server, kind, reason},
 				'statement of a backend server ignored',
 			);
@@ -292,7 +292,7 @@
 	};
 };
 
-// Later than the route's users hope for.
+// Whether the first byte came later than the target latency of the route.
 const isLate = ({exchange, firstByteMs}: DeliveryRecord): boolean =>
 	firstByteMs !== undefined && firstByteMs > exchange.route.targetLatencyMs;
 
@@ -302,7 +302,7 @@
 const snakeCase = (name: string): string =>
 	name.replaceAll(/[A-Z]/gv, (letter) => `_${letter.toLowerCase()}`);
 
-// A gauge enters itself into its registry.
+// A gauge registers itself with its registry.
 const registerLimitGauge = (
 	registry: Registry,
 	name: string,
--- a/src/gateway/gateway-options.ts
+++ b/src/gateway/gateway-options.ts
@@ -6,7 +6,7 @@
 import type {WireHeaders} from './wire-headers.ts';
 
 /**
-What a gateway needs to know at its start.
+Options of `createGateway`.
 */
 export type GatewayOptions = {
 	readonly id: string;
@@ -17,7 +17,7 @@
 	readonly zones: Readonly<Record<string, string>>;
 	readonly callerAddress: Address;
 	/**
-	Where other nodes reach it: UDP for heartbeats, TCP for calls.
+	Address at which other nodes reach this one: UDP for heartbeats, TCP for calls.
 	*/
 	readonly peerAddress: Address;
 	/**
@@ -30,24 +30,24 @@
 	readonly seeds: () => readonly Address[];
 	readonly registry: RegistrySource;
 	/**
-	Where the memory of engines is read; undefined where they do not tell of it.
+	Source of the cache contents of engines; undefined if engines do not report them.
 	*/
 	readonly caches: CacheSource | undefined;
 	readonly headers: WireHeaders;
 	readonly bounds: GatewayBounds;
 	/**
-	What is switched off, to see what it is worth.
+	Mechanisms that are disabled, to measure their benefit.
 	*/
 	readonly without: DisabledMechanisms;
 	readonly logger: Logger;
 	/**
-	What time is measured by; the clocks of this machine where it is left out.
+	Clock sources; those of this machine if omitted.
 	*/
 	readonly clocks?: ClockSources;
 };
 
 /**
-Bounds that hold over all nodes, as the deployment states them.
+Bounds that apply to all nodes together, as configured by the deployment.
 */
 export type GatewayBounds = {
 	readonly retryRatio: number;
@@ -56,7 +56,7 @@
 	readonly coldOverrun: number;
 	readonly coldSlack: number;
 	/**
-	Over which client accounts are held to their limits, in milliseconds.
+	Window over which the limits of client accounts are enforced, in milliseconds.
 	*/
 	readonly limitWindowMs: number;
 };
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -20,28 +20,28 @@
 export type Gateway = {
 	start(): Promise<void>;
 	/**
-	Takes no new callers and resolves once requests have ended, or after `timeoutMs`.
+	Stops accepting callers. Resolves once all requests have ended, or after `timeoutMs`; true if all have.
 	*/
 	drain(timeoutMs: number): Promise<boolean>;
 	stop(): Promise<void>;
 	isReady(): boolean;
 	/**
-	Caller addresses for a caller in a region, nearest first.
+	Addresses of the nodes that a caller in this region and zone should use.
 	*/
 	entryAddresses(region: string, availabilityZone: string): readonly Address[];
 	metrics(): Promise<string>;
 	/**
-	The seeds have changed.
+	Makes the node ask its seeds again; called when they have changed.
 	*/
 	reload(): void;
 };
 
 /**
-Builds a gateway; nothing runs before `start`.
+Creates a gateway; nothing runs before `start`.
 */
 export const createGateway = (options: GatewayOptions): Gateway => {
 	const {logger, headers, without} = options;
-	const knowledge = createNodeState(options, {
+	const nodeState = createNodeState(options, {
 		onLimits(limits) {
 			listeners.setLimits(limits);
 		},
@@ -74,10 +74,10 @@
 		statements,
 		announcements,
 		leavingBroadcast,
-	} = knowledge;
+	} = nodeState;
 	const {intake, deliveries, observer, admission} = createRequestHandling(
 		options,
-		knowledge,
+		nodeState,
 		{
 			onFirstWaiting() {
 				ticks.reschedule();
@@ -93,8 +93,8 @@
 		logger,
 		healthPath: (service) =>
 			mirror.routes()?.service(service)?.healthPath ?? '/',
-		onGone(life) {
-			quarantine.connectionRefused(life, clock());
+		onGone(incarnationId) {
+			quarantine.connectionRefused(incarnationId, clock());
 		},
 		onAlive: quarantine.crashRuledOut,
 		backendLimits,
@@ -111,19 +111,19 @@
 		peerClient,
 		seeds: options.seeds,
 		ownAddresses: peerAddresses,
-		random: knowledge.random,
+		random: nodeState.random,
 	});
-	const loadStatement = createLoadPublisher(mesh, fleet, mirror);
+	const loadPublisher = createLoadPublisher(mesh, fleet, mirror);
 	const warmer = createConnectionWarmer({
 		client,
-		otherRegions: knowledge.regions.filter((region) => region !== localRegion),
+		otherRegions: nodeState.regions.filter((region) => region !== localRegion),
 		membersIn: mesh.usableIn,
-		random: knowledge.random,
+		random: nodeState.random,
 	});
 
-	const guide = createRegionFailoverLog({
+	const failoverLog = createRegionFailoverLog({
 		logger,
-		regionOf: knowledge.regionOf,
+		regionOf: nodeState.regionOf,
 		members: () => [mesh.self(), ...mesh.others()],
 	});
 
@@ -132,7 +132,7 @@
 		mesh.tick(now);
 		registry.tick(now);
 		for (const server of fleet.tick(now)) {
-			logger.warn({server}, 'backend server silent');
+			logger.warn({server}, 'backend server stopped responding');
 			deliveries.serverStoppedResponding(server);
 		}
 
@@ -146,7 +146,7 @@
 		deliveries.tick(now);
 		observer.tick(now);
 		joiner.tick(now);
-		loadStatement.tick(now);
+		loadPublisher.tick(now);
 		if (!without.has('connection-warming')) {
 			warmer.tick(now);
 		}
@@ -187,7 +187,7 @@
 
 	return {
 		async start() {
-			// Before the listeners: callers that come while a node starts wait for the first routes.
+			// Before the listeners, because requests that arrive during the start wait for the first routes.
 			registry.start();
 			await mesh.start();
 			await listeners.start();
@@ -209,7 +209,7 @@
 			mesh.leave();
 			logger.info({inFlight: deliveries.count()}, 'leaving');
 			await new Promise((resolve) => {
-				setTimeout(resolve, Math.min(settleMs, timeoutMs));
+				setTimeout(resolve, Math.min(leavingAcceptMs, timeoutMs));
 			});
 			listeners.drain();
 			return isIdleWithin(timeoutMs - (clock() - leftAt));
@@ -233,7 +233,7 @@
 					(member) =>
 						member.status === 'alive' || mesh.isRecentlyLeaving(member),
 				),
-				regionOf: knowledge.regionOf,
+				regionOf: nodeState.regionOf,
 				homeRoutes: (home) =>
 					(mirror.routes()?.document.routes ?? []).filter(({homeRegions}) =>
 						homeRegions.includes(home),
@@ -241,7 +241,7 @@
 				region,
 				availabilityZone,
 			});
-			guide.record(region, named);
+			failoverLog.record(region, named);
 			return named.map(({callerAddress}) => callerAddress);
 		},
 		metrics: observer.metrics,
@@ -249,6 +249,6 @@
 	};
 };
 
-// How long a leaving node goes on taking connections, in milliseconds: callers keep what the
-// directory told them for some seconds.
-const settleMs = 4300;
+// How long a leaving node continues to accept connections, in milliseconds: callers use a response of the directory
+// for some seconds.
+const leavingAcceptMs = 4300;
--- a/src/gateway/product-headers.ts
+++ b/src/gateway/product-headers.ts
@@ -1,7 +1,7 @@
 import type {WireHeaders} from './wire-headers.ts';
 
 /**
-Header names of a gateway whose callers and backend servers speak the project's own names.
+Header names of a gateway whose callers and backend servers use the project's default names.
 */
 export const productHeaders: WireHeaders = {
 	requestId: 'x-gateway-request-id',
--- a/src/gateway/request-handling.ts
+++ b/src/gateway/request-handling.ts
@@ -23,7 +23,7 @@
 import type {NodeState} from './sharing/index.ts';
 
 /**
-What takes requests in, delivers them and writes down what became of them.
+The components that receive requests, deliver them and record their outcome.
 */
 export type RequestHandling = {
 	readonly intake: RequestIntake;
@@ -33,35 +33,35 @@
 };
 
 /**
-What the handling of requests and the ticks of a node have to do with each other.
+Hooks between request handling and the tick schedule of a node.
 */
 export type TickHooks = {
 	/**
-	Told when a request waits for room and no other does.
+	Called when a request begins to wait for capacity while no other does.
 	*/
 	readonly onFirstWaiting: () => void;
 	/**
-	How late the event loop is, in milliseconds.
+	Delay of the event loop in milliseconds.
 	*/
 	readonly lagMs: () => number;
 };
 
 /**
-Routes confirmed within this time are taken as complete, in milliseconds.
+Routes that were confirmed within this time are considered complete, in milliseconds.
 */
 export const freshRoutesMs = 3000;
 
 /**
-Builds the handling of one node.
+Creates the request handling of one node.
 
-@param options What the node was told at its start.
-@param knowledge What this node knows.
-@param schedule What it has to do with the ticks.
+@param options Options of the gateway.
+@param nodeState State of this node.
+@param hooks Hooks to the tick schedule.
 */
 export const createRequestHandling = (
 	options: GatewayOptions,
-	knowledge: NodeState,
-	schedule: TickHooks,
+	nodeState: NodeState,
+	hooks: TickHooks,
 ): RequestHandling => {
 	const {logger, headers, bounds} = options;
 	const {
@@ -76,13 +76,13 @@
 		quarantine,
 		backendLimits,
 		announcements,
-	} = knowledge;
+	} = nodeState;
 	const {routesVersion} = mirror;
 	const {choose, peerFailed} = createGatewayChooser({
-		...knowledge,
+		...nodeState,
 		zones: options.zones,
 		without: options.without,
-		isCached: knowledge.prompts.isCached,
+		isCached: nodeState.prompts.isCached,
 	});
 	const durations = createRouteDurations();
 	const admission = createLeavingAdmission(durations);
@@ -103,7 +103,7 @@
 		hasSettled: shares.hasSettled,
 		durations,
 		connectionShare: (service, server) =>
-			shares.connectionsTo(mirror.routes()?.service(service), server),
+			shares.connectionShare(mirror.routes()?.service(service), server),
 		routesVersion,
 		isServedHere: (route) => isRegionAllowed(route, localRegion),
 		isClientKnown({name, keyDigest}) {
@@ -133,20 +133,20 @@
 		},
 		quarantineStatus: (exchange) =>
 			quarantine.status(() => fingerprintOfExchange(exchange), clock()),
-		statements: knowledge.statements,
+		statements: nodeState.statements,
 		announcements,
-		canReceive(server, life) {
+		canReceive(server, incarnationId) {
 			const entry = fleet.server(server);
 			return (
 				entry !== undefined &&
-				incarnationIdOf(entry) === life &&
-				announcements.backoffs.remainingMs(life, clock()) === 0
+				incarnationIdOf(entry) === incarnationId &&
+				announcements.backoffs.remainingMs(incarnationId, clock()) === 0
 			);
 		},
 		backendLimits,
 		onWaiting() {
 			if (deliveries.queuedCount() === 1) {
-				schedule.onFirstWaiting();
+				hooks.onFirstWaiting();
 			}
 		},
 		onRecord(record) {
@@ -165,11 +165,11 @@
 			registryRevision: mirror.revision(),
 			registryAgeMs: Math.round(registry.ageMs()),
 		}),
-		limitStates: () => knowledge.limits.states(clock()),
+		limitStates: () => nodeState.limits.states(clock()),
 		gauges: {
 			requestsUnderWay: deliveries.count,
 			requestsWaiting: deliveries.queuedCount,
-			loopLagMilliseconds: schedule.lagMs,
+			loopLagMilliseconds: hooks.lagMs,
 			registryEra: () => mirror.position().era,
 			registryRevision: mirror.revision,
 			registryKeptBeyondCopy: () => Number(mirror.stamp().isAheadOfRegistry),
@@ -194,11 +194,11 @@
 		deliveries,
 		observer,
 		admission,
-		requestDeferral: createRequestDeferral(schedule.lagMs),
+		requestDeferral: createRequestDeferral(hooks.lagMs),
 		admit({client: account, prompt}) {
 			const name = account?.name ?? '';
 			const now = clock();
-			const verdict = knowledge.limits.admit(name, tokensOf(prompt), now);
+			const verdict = nodeState.limits.admit(name, tokensOf(prompt), now);
 			observer.admission(name, verdict, now);
 			return verdict;
 		},
--- a/src/gateway/sharing/node-shares.ts
+++ b/src/gateway/sharing/node-shares.ts
@@ -29,7 +29,10 @@
 	/**
 	Connections that this node may open to one backend server of a service.
 	*/
-	connectionsTo(service: Service | undefined, server: string): ConnectionShare;
+	connectionShare(
+		service: Service | undefined,
+		server: string,
+	): ConnectionShare;
 };
 
 /**
@@ -122,7 +125,7 @@
 			hasSettled()
 				? Math.max(1 + mesh.others().length, minimumSharingNodes)
 				: Infinity,
-		connectionsTo(service, server) {
+		connectionShare(service, server) {
 			const limit = service?.maximumConnections ?? 0;
 			if (limit === 0) {
 				return {maximum: unboundedConnections, isPersistent: true};
--- a/src/gateway/tick-schedule.ts
+++ b/src/gateway/tick-schedule.ts
@@ -1,40 +1,40 @@
 /**
-Calls a node's tick again and again, more often while requests wait.
+Calls a node's tick periodically, and more often while requests wait.
 */
 export type TickSchedule = {
 	/**
-	Ticks at once and from then on.
+	Ticks at once and periodically from then on.
 	*/
 	start(): void;
 	/**
-	Chooses the time of the next tick anew; to be called when a first request has begun to wait.
+	Reschedules the next tick; called when a first request has begun to wait.
 	*/
 	reschedule(): void;
 	/**
-	How late the event loop is, in milliseconds: by the last tick, or by the next one where that is overdue.
-	Infinite before a tick was due: a node that starts takes long to come to what waits at its listeners.
+	Delay of the event loop in milliseconds: that of the last tick, or of the next one if it is overdue. Infinite before the
+	first scheduled tick, because a starting node is slow to process what is pending at its listeners.
 	*/
 	lagMs(): number;
 	stop(): void;
 };
 
 /**
-Milliseconds between two ticks while nothing waits for room. Each tick wakes the process, and the
-shortest time that depends on it is the 300 ms for the acknowledgement of a heartbeat.
+Interval between ticks while no request waits for capacity, in milliseconds. Each tick wakes the process, and the
+shortest timeout that depends on it is the 300 ms for the acknowledgement of a heartbeat.
 */
 export const gatewayTickMs = 150;
 
 /**
-Milliseconds between two ticks while requests wait, so that they are refused on time.
+Interval between ticks while requests wait, in milliseconds; short, so that they are refused on time.
 */
 export const waitingTickMs = 40;
 
 /**
-Builds a schedule that has not started.
+Creates a schedule that has not started.
 
-@param waiting How many requests wait for room.
-@param tick What is called.
-@param clock Milliseconds that only rise.
+@param waiting Returns the number of requests that wait for capacity.
+@param tick Called at each tick.
+@param clock Monotonic clock in milliseconds.
 */
 export const createTickSchedule = (
 	waiting: () => number,
@@ -43,17 +43,17 @@
 ): TickSchedule => {
 	let timer: NodeJS.Timeout | undefined;
 	let dueAt = Infinity;
-	let lateMs = Infinity;
+	let lastLagMs = Infinity;
 
 	const reschedule = () => {
-		const pauseMs = waiting() > 0 ? waitingTickMs : gatewayTickMs;
+		const intervalMs = waiting() > 0 ? waitingTickMs : gatewayTickMs;
 		clearTimeout(timer);
-		timer = setTimeout(run, pauseMs);
-		dueAt = clock() + pauseMs;
+		timer = setTimeout(run, intervalMs);
+		dueAt = clock() + intervalMs;
 	};
 
 	const run = () => {
-		lateMs = dueAt === Infinity ? Infinity : Math.max(0, clock() - dueAt);
+		lastLagMs = dueAt === Infinity ? Infinity : Math.max(0, clock() - dueAt);
 		reschedule();
 		tick();
 	};
@@ -61,7 +61,7 @@
 	return {
 		start: run,
 		reschedule,
-		lagMs: () => Math.max(lateMs, clock() - dueAt),
+		lagMs: () => Math.max(lastLagMs, clock() - dueAt),
 		stop() {
 			clearTimeout(timer);
 		},
--- a/src/gateway/wire-headers.ts
+++ b/src/gateway/wire-headers.ts
@@ -1,22 +1,22 @@
 /**
-Names of the headers that callers and backend servers use, in lower case. What a deployment calls
-them is its own matter, so they are given to the gateway.
+Names of the headers that callers and backend servers use, in lower case. Each deployment chooses its own, so they are
+passed to the gateway.
 */
 export type WireHeaders = {
 	/**
-	The caller's id of a request; backend servers send it back with each answer.
+	The caller's id of a request; backend servers return it with each response.
 	*/
 	readonly requestId: string;
 	/**
-	Milliseconds that the caller, or this node, goes on waiting.
+	Milliseconds that the caller, or this node, will continue to wait.
 	*/
 	readonly remainingMs: string;
 	/**
-	A backend server's proof that an answer is its own.
+	A backend server's signature, which proves that a response is its own.
 	*/
 	readonly signature: string;
 	/**
-	Names the backend server that a request is meant for.
+	The backend server for which a request is meant.
 	*/
 	readonly expectedServer: string;
 	/**
@@ -28,56 +28,56 @@
 	*/
 	readonly promptParts: string;
 	/**
-	Tokens of the prompt and the most that it generates, separated by a comma.
+	Tokens of the prompt and the maximum number of generated tokens, separated by a comma.
 	*/
 	readonly tokenUsage: string;
 	/**
-	What a backend server says of its load in its answers, as `RUNNING,WAITING,SLOTS`.
+	Load that a backend server states in its responses, as `RUNNING,WAITING,SLOTS`.
 	*/
 	readonly load: string;
 	/**
-	What a backend server names in its answers while it is in need: the requests a second, a decimal number, that it takes
-	from all nodes together.
+	Limit that an overloaded backend server states in its responses: the requests per second, a decimal number, that it
+	accepts from all nodes together.
 	*/
 	readonly limit: string;
 	/**
-	`1` in the answers of a backend server that is shutting down.
+	`1` in the responses of a backend server that is shutting down.
 	*/
 	readonly leaving: string;
 	/**
-	How urgent a request is to a backend server that works on the more urgent ones first: 0 is the most
-	urgent, `leastUrgent` the least.
+	Urgency of a request, for backend servers that process more urgent requests first: 0 is the most urgent, `leastUrgent`
+	the least.
 	*/
 	readonly urgency: string;
 	/**
-	Remaining time of a cold backend server in milliseconds, in its health answers.
+	Milliseconds for which a backend server is still cold, in its responses to health checks.
 	*/
 	readonly coldMs: string;
 	/**
-	The backend server that answers a health check.
+	Id of the backend server that responds to a health check.
 	*/
 	readonly serverId: string;
 	/**
-	The key of the caller's account; never sent on.
+	The key of the caller's account; never forwarded to backend servers.
 	*/
 	readonly clientKey: string;
 	/**
-	Tells backend servers the name of the account, whatever the caller sent under it.
+	Name of the account, sent to backend servers in place of any value that the caller sent.
 	*/
 	readonly client: string;
 	/**
-	Headers that only this system may set; taken off what callers send.
+	Headers that only the gateway may set; removed from the requests of callers.
 	*/
 	readonly reserved: readonly string[];
 };
 
 /**
-The greatest rank that backend servers tell apart.
+The lowest urgency that backend servers distinguish.
 */
 export const leastUrgent = 9;
 
 /**
-The standard header by which a broken event stream is taken up again.
+The standard header with which an interrupted event stream is resumed.
 */
 export const lastEventIdHeader = 'last-event-id';
 
@@ -97,25 +97,25 @@
 ]);
 
 /**
-Copies raw headers without those of one connection and without those that are named.
+Copies raw headers without the hop-by-hop headers and without the given ones.
 */
 export const forwardableHeaders = (
 	rawHeaders: readonly string[],
-	left: ReadonlySet<string>,
+	excluded: ReadonlySet<string>,
 ): string[] => {
-	const kept: string[] = [];
+	const forwarded: string[] = [];
 	for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
 		const name = rawHeaders[index]!.toLowerCase();
-		if (!connectionHeaders.has(name) && !left.has(name)) {
-			kept.push(rawHeaders[index]!, rawHeaders[index + 1]!);
+		if (!connectionHeaders.has(name) && !excluded.has(name)) {
+			forwarded.push(rawHeaders[index]!, rawHeaders[index + 1]!);
 		}
 	}
 
-	return kept;
+	return forwarded;
 };
 
 /**
-The first value of a header in raw form, by its name in lower case.
+Returns the first value of a raw header, by its name in lower case.
 */
 export const rawHeader = (
 	rawHeaders: readonly string[],
--- a/tests/gateway/broken-server.ts
+++ b/tests/gateway/broken-server.ts
@@ -6,7 +6,7 @@
 import {standInHeaders} from '../../stand-ins/stand-in-headers.ts';
 
 /**
-What a backend server sends in place of a sound answer.
+What a backend server sends in place of a valid response.
 */
 export type Reply = {
 	readonly status: number;
@@ -16,14 +16,14 @@
 	readonly body: string;
 	readonly noise: Uint8Array;
 	/**
-	Part of the bytes that is sent before the connection ends.
+	Fraction of the bytes that is sent before the connection ends.
 	*/
 	readonly sentPart: number;
 	readonly isReset: boolean;
 };
 
 /**
-Replies of all kinds, sound ones among them.
+Replies of all kinds, including valid ones.
 */
 export const replies: fc.Arbitrary<Reply> = fc.record({
 	status: fc.constantFrom(
@@ -62,7 +62,7 @@
 });
 
 /**
-Starts a server that sends the reply that is set, whatever it is asked.
+Starts a server that sends the current reply to every request.
 */
 export const startBrokenServer = async (t: TestContext, reply: () => Reply) => {
 	let count = 0;
--- a/tests/gateway/client-limit-log.test.ts
+++ b/tests/gateway/client-limit-log.test.ts
@@ -5,14 +5,14 @@
 	unlimitedAfterMs,
 } from '../../src/gateway/client-limit-log.ts';
 
-test('one line tells that an account is limited, and one that it is not any more', () => {
+test('one line reports that an account is limited, and one that it is no longer', () => {
 	const lines: Array<readonly [string, Readonly<Record<string, unknown>>]> = [];
-	const note = (facts: Readonly<Record<string, unknown>>, message: string) => {
+	const write = (facts: Readonly<Record<string, unknown>>, message: string) => {
 		lines.push([message, facts]);
 	};
 
 	const log = createClientLimitLog(
-		{debug: note, info: note, warn: note, error: note},
+		{debug: write, info: write, warn: write, error: write},
 		() => ({
 			admissionFraction: 0.25,
 			usage: {requested: 400, admitted: 900},
--- a/tests/gateway/crashing-request.test.ts
+++ b/tests/gateway/crashing-request.test.ts
@@ -1,9 +1,8 @@
-// Short drafts failed by the hundred: one request crashed each engine that began to run it, and it came again and
-// again, by the same path with the same body under other ids, to any node. Its second try went to the next engine at
-// once; the third and all later tries began anew, for attempts were counted for an id, at one node, until that request
-// ended. Engines that came back were crashed again: six engines fell three times in sixteen seconds, twenty falls to a
-// request. That it was one request shows in the fingerprints of what was under way at each engine that falls; that no
-// overload is needed, here, where the engines have room to spare.
+// Guards against one request that crashes every engine that runs it, so that hundreds of other requests fail with it.
+// It is sent again and again to any node, with the same path and body but other ids, so that attempts counted per id and
+// node do not limit it: six engines can crash three times each in sixteen seconds, twenty crashes for one request. The
+// request is identified by the fingerprints of the requests in flight at each engine that crashes. The engines here have
+// spare capacity, so that overload is not the cause.
 import {test, type TestContext} from 'node:test';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {request} from 'undici';
@@ -24,16 +23,16 @@
 const fatalBody = 'a request that crashes what runs it';
 const accepted = 'text/event-stream';
 
-// Crashes of one request that are borne: what happens once can happen to any request, twice to one that was tried
-// again, and a third time by bad luck.
-const borneCrashes = 3;
+// Tolerated crashes of one request: one can happen to any request, a second one to a request that was retried, and a
+// third one by coincidence.
+const toleratedCrashes = 3;
 
-// After the third crash the nodes have so long to tell each other, in milliseconds: a hundredth of what a slow
-// network takes, and many times what this machine does.
-const tellingMs = 1000;
+// Time in which nodes inform each other of the third crash, in milliseconds: a hundredth of what a slow network takes,
+// and many times what this machine takes.
+const propagationMs = 1000;
 
-// Sends that are borne after that, over all nodes.
-const borneSends = 3;
+// Tolerated sends of the request after that, by all nodes together.
+const toleratedSends = 3;
 
 let attempts = 0;
 
@@ -61,7 +60,7 @@
 const setUp = async (t: TestContext, route: Partial<Route>) => {
 	const registry = createStandInRegistry();
 	const deployment = await startGateways(zones, nodes, registry);
-	const book: RunLog = {runs: [], crashes: []};
+	const runLog: RunLog = {runs: [], crashes: []};
 	writeRoutes(
 		registry,
 		documentOf({
@@ -93,7 +92,7 @@
 					pauseMs: 20,
 					downMs: 250,
 				},
-				book,
+				runLog,
 			),
 		),
 	);
@@ -106,19 +105,19 @@
 			(node) => node.isReady() && node.entryAddresses('', '').length === nodes,
 		),
 	);
-	return {deployment, book};
+	return {deployment, runLog};
 };
 
-// What reached servers later than the nodes had to tell each other of the third crash.
+// Counts the sends of the fatal request after the nodes had time to inform each other of the third crash.
 const lateSends = ({runs, crashes}: RunLog): number => {
-	const third = crashes[borneCrashes - 1]?.at ?? Infinity;
+	const thirdCrashAt = crashes[toleratedCrashes - 1]?.at ?? Infinity;
 	return runs.filter(
-		({at, body}) => body === fatalBody && at > third + tellingMs,
+		({at, body}) => body === fatalBody && at > thirdCrashAt + propagationMs,
 	).length;
 };
 
-// One request again and again, by all nodes in turn, while others come that merely share its servers.
-const playSpell = async (
+// Sends the fatal request repeatedly, through all nodes in turn, along with other requests to the same servers.
+const sendWithFatal = async (
 	addresses: readonly string[],
 	turns: number,
 ): Promise<readonly Answer[]> => {
@@ -142,19 +141,19 @@
 	readonly name: string;
 	readonly route: Partial<Route>;
 }> = [
-	{name: 'a stream that is taken up again', route: {isResumable: true}},
-	{name: 'a request that is tried again', route: {kind: 'idempotent'}},
+	{name: 'a stream that is resumed', route: {isResumable: true}},
+	{name: 'a request that is retried', route: {kind: 'idempotent'}},
 	{name: 'a stream that runs at most once', route: {}},
 ];
 
 for (const {name, route} of kinds) {
-	test(`${name}: one that crashes its servers reaches few of them, by whatever node it comes`, async (t: TestContext) => {
-		const {deployment, book} = await setUp(t, route);
-		const answers = await playSpell(deployment.callerAddresses, 200);
-		t.assert.ok(book.crashes.length >= borneCrashes);
+	test(`${name}: if it crashes its servers, it reaches few of them, through any node`, async (t: TestContext) => {
+		const {deployment, runLog} = await setUp(t, route);
+		const answers = await sendWithFatal(deployment.callerAddresses, 200);
+		t.assert.ok(runLog.crashes.length >= toleratedCrashes);
 		t.assert.ok(
-			lateSends(book) <= borneSends,
-			`sent ${lateSends(book)} times late, ${book.crashes.length} crashes`,
+			lateSends(runLog) <= toleratedSends,
+			`sent ${lateSends(runLog)} times late, ${runLog.crashes.length} crashes`,
 		);
 		t.assert.ok(answers.some(({status}) => status === 200));
 		t.assert.deepStrictEqual(
@@ -164,18 +163,18 @@
 	});
 }
 
-test('a node that has just started knows of it from the others', async (t: TestContext) => {
-	const {deployment, book} = await setUp(t, {isResumable: true});
-	await playSpell(deployment.callerAddresses, 100);
+test('a node that has just started learns of a crashing request from the others', async (t: TestContext) => {
+	const {deployment, runLog} = await setUp(t, {isResumable: true});
+	await sendWithFatal(deployment.callerAddresses, 100);
 	await deployment.restart(1);
 	await until(() => deployment.nodes[1]!.isReady());
-	await sleep(tellingMs);
+	await sleep(propagationMs);
 	for (let turn = 0; turn < 10; turn += 1) {
 		await ask(deployment.callerAddresses[1]!, fatalBody);
 	}
 
 	t.assert.ok(
-		lateSends(book) <= borneSends,
-		`sent ${lateSends(book)} times late, ${book.crashes.length} crashes`,
+		lateSends(runLog) <= toleratedSends,
+		`sent ${lateSends(runLog)} times late, ${runLog.crashes.length} crashes`,
 	);
 });
--- a/tests/gateway/fixtures.ts
+++ b/tests/gateway/fixtures.ts
@@ -26,7 +26,7 @@
 });
 
 /**
-An account with one key, `key`.
+An account with the single key `key`.
 */
 export const accountOf = (
 	change: Partial<ClientAccount> = {},
@@ -100,7 +100,7 @@
 });
 
 /**
-No server names a limit.
+Limits of servers that state none.
 */
 export const unlimited: BackendFleetOptions['backendLimits'] = {
 	hasAny: () => false,
@@ -110,7 +110,7 @@
 };
 
 /**
-The only node of its region, without bounds on cold servers.
+Options of the only node of its region, without limits on cold servers.
 */
 export const fleetOptionsOf = (
 	change: Partial<BackendFleetOptions> = {},
--- a/tests/gateway/gateway-observer.test.ts
+++ b/tests/gateway/gateway-observer.test.ts
@@ -51,7 +51,7 @@
 	...change,
 });
 
-test('a failed or late request has a line with its id, steps and the age of what decided', () => {
+test('a failed or late request is logged with its id, steps, route version and registry age', () => {
 	const {observer, lines} = setUp();
 	observer.record(recordOf({result: 'refused', outcome: 'not-run'}));
 	observer.record(recordOf({firstByteMs: 900}));
@@ -69,7 +69,7 @@
 	);
 });
 
-test('lines are bounded in each second, answered requests give way first, and the dropped are counted', async () => {
+test('log lines are limited per second, answered requests are dropped first, and dropped lines are counted', async () => {
 	const {observer, lines} = setUp();
 	for (let index = 0; index < answeredSample * linesPerSecond; index += 1) {
 		observer.record(recordOf());
@@ -90,7 +90,7 @@
 	assert.equal(lines.length, linesPerSecond + 1);
 });
 
-test('figures are served as counters, histograms and gauges', async () => {
+test('metrics are exposed as counters, histograms and gauges', async () => {
 	const {observer} = setUp();
 	observer.record(recordOf());
 	observer.rejected('request-2', 'no route', 404);
@@ -107,7 +107,7 @@
 	assert.match(text, /quillford_some_gauge 7/v);
 });
 
-test('accounts are counted by name, and tell how they stand', async () => {
+test('requests are counted by account, and the limit state of accounts is exposed', async () => {
 	const {observer} = setUp();
 	observer.admission('account', {kind: 'admitted'}, 0);
 	observer.admission('account', {kind: 'limited', retryAfterSeconds: 1}, 0);
--- a/tests/gateway/gateway.test.ts
+++ b/tests/gateway/gateway.test.ts
@@ -112,7 +112,7 @@
 		await Promise.all(servers.map(async (server) => server.close()));
 	});
 
-	test('an answer comes whole and signed, from the own region and from the other', async () => {
+	test('an answer arrives complete and signed, from the same region and from the other', async () => {
 		for (const address of deployment.callerAddresses) {
 			const {id, status, headers, text} = await ask(address, '/plain/a');
 			assert.equal(status, 200);
@@ -121,7 +121,7 @@
 		}
 	});
 
-	test('a stream comes event by event, whichever node is asked', async () => {
+	test('a stream arrives event by event from either node', async () => {
 		for (const address of deployment.callerAddresses) {
 			const {status, text} = await ask(address, '/words/a');
 			assert.equal(status, 200);
@@ -129,7 +129,7 @@
 		}
 	});
 
-	test('a request that no region may serve is refused as not run, with a time to come back', async () => {
+	test('a request that no region may serve is refused as not run, with Retry-After', async () => {
 		const [address = ''] = deployment.callerAddresses;
 		const {id, status, headers} = await ask(address, '/bound/a');
 		assert.equal(status, 503);
@@ -137,7 +137,7 @@
 		assert.ok(servers.every(({ran}) => !ran.includes(id)));
 	});
 
-	test('a path without a route is not found, and a request without an id is not taken', async () => {
+	test('a path without a route is not found, and a request without an id is refused', async () => {
 		const [address = ''] = deployment.callerAddresses;
 		const {status} = await ask(address, '/none/a');
 		assert.equal(status, 404);
@@ -147,7 +147,7 @@
 		assert.equal(nameless.status, 400);
 	});
 
-	test('a server that leaves gets nothing more once the node knows', async (t: TestContext) => {
+	test('a server whose entry was removed receives nothing more once the node knows', async (t: TestContext) => {
 		const {registry} = deployment;
 		const late = await startStandInServer(
 			registry,
@@ -163,7 +163,7 @@
 		t.after(late.close);
 		registry.write('server plain-1', undefined);
 		const [address = ''] = deployment.callerAddresses;
-		// The new server alone is left in the region of this node.
+		// Only the new server remains in the region of this node.
 		await until(async () => {
 			const isKnown = (await deployment.nodes[0]!.metrics()).includes(
 				'quillford_backend_servers 1\n',
@@ -179,12 +179,12 @@
 		t.assert.ok(late.ran.length > 20);
 	});
 
-	test('the metrics count what was answered', async () => {
+	test('the metrics count answered requests', async () => {
 		const figures = await deployment.nodes[0]!.metrics();
 		assert.match(figures, /quillford_requests_total\{.*route="plain".*\} \d+/v);
 	});
 
-	test('a node that stops ends what it has under way and takes nothing new', async () => {
+	test('a draining node completes its requests in flight and accepts no new ones', async () => {
 		const [address = ''] = deployment.callerAddresses;
 		const slow = ask(address, '/words/z');
 		const drained = deployment.nodes[0]!.drain(6000);
@@ -197,7 +197,7 @@
 	});
 });
 
-test('a request that comes before the first routes is served once there are some', async (t: TestContext) => {
+test('a request that arrives before the first routes is served once there are some', async (t: TestContext) => {
 	const deployment = await startGateways({north: 'upland'}, 1);
 	t.after(deployment.stop);
 	const {registry} = deployment;
@@ -232,7 +232,7 @@
 	t.assert.strictEqual(text, 'done');
 });
 
-test('a request that comes while the registry stays away is refused as not run', async (t: TestContext) => {
+test('a request that arrives while the registry is unavailable is refused as not run', async (t: TestContext) => {
 	const deployment = await startGateways({north: 'upland'}, 1);
 	t.after(deployment.stop);
 	deployment.registry.setUp(false);
@@ -241,7 +241,7 @@
 	t.assert.strictEqual(status, 503);
 });
 
-test('the bounds of routes hold that came before the listener for callers was up', async (t: TestContext) => {
+test('limits of routes that arrived before the start of the listener for callers are applied', async (t: TestContext) => {
 	const registry = createStandInRegistry();
 	const document = documentOf();
 	writeRoutes(registry, {
@@ -256,7 +256,7 @@
 	t.assert.strictEqual(status, 413);
 });
 
-test('a leaving node takes over a kept connection what it can end, and refuses the rest as not run', async (t: TestContext) => {
+test('a leaving node accepts requests on open connections that it can complete, and refuses others as not run', async (t: TestContext) => {
 	const deployment = await startGateways({north: 'upland'}, 1);
 	t.after(deployment.stop);
 	const {registry, nodes} = deployment;
@@ -289,10 +289,10 @@
 		await ask(address, '/known/a');
 	}
 
-	// Ends before a route of which nothing is known has used its whole time of four seconds.
+	// The node exits before the timeout of four seconds, which is assumed for a route without recorded durations.
 	const drained = nodes[0]!.drain(3000);
-	const taken = await ask(address, '/known/a');
-	t.assert.strictEqual(taken.status, 200);
+	const accepted = await ask(address, '/known/a');
+	t.assert.strictEqual(accepted.status, 200);
 	const refused = await ask(address, '/unknown/a');
 	t.assert.strictEqual(refused.status, 503);
 	t.assert.strictEqual(refused.headers.connection, 'close');
--- a/tests/gateway/leaving-server.test.ts
+++ b/tests/gateway/leaving-server.test.ts
@@ -9,27 +9,27 @@
 	type Scene,
 } from './statement-scene.ts';
 
-// A node may send to a server for this long after it has passed on the server's announcement, in milliseconds.
+// Time for which a node may still send to a server after it relayed the server's announcement, in milliseconds.
 const drainMs = 3000;
 
 const requestsAfter = (server: StatementServer, from: number): number =>
 	server.arrivals.filter(({at, method}) => method === 'POST' && at >= from)
 		.length;
 
-// The time by which all nodes have passed on an announcement, and the last request that it allows has arrived.
+// Returns the time by which all nodes have relayed an announcement and the last allowed request has arrived.
 const announceAndDrain = async (
 	scene: Scene,
 	server: StatementServer,
 ): Promise<number> => {
 	server.announceLeaving();
 	await sendSteadily(scene, 80, 1500);
-	const toldAt = performance.now();
+	const relayedAt = performance.now();
 	await sendSteadily(scene, 80, drainMs);
-	return toldAt + drainMs;
+	return relayedAt + drainMs;
 };
 
 const cases = [
-	{name: 'whole answers', answer: singleResponse, route: {}},
+	{name: 'single responses', answer: singleResponse, route: {}},
 	{name: 'stream heads', answer: streamResponse, route: {}},
 	{
 		name: 'heads of resumable streams',
@@ -39,7 +39,7 @@
 ] as const;
 
 for (const {name, answer, route} of cases) {
-	test(`a shutdown announced in ${name} only ends new requests within 3 s`, async (t: TestContext) => {
+	test(`a shutdown announced only in ${name} stops new requests within 3 s`, async (t: TestContext) => {
 		const scene = await setUp(t, 3, answer, route);
 		const [leaving] = scene.servers;
 		await sendSteadily(scene, 80, 500);
@@ -53,7 +53,7 @@
 	});
 }
 
-test('a shutdown announced in refusals only ends new requests within 3 s', async (t: TestContext) => {
+test('a shutdown announced only in refusals stops new requests within 3 s', async (t: TestContext) => {
 	const scene = await setUp(t, 3, singleResponse);
 	const [leaving] = scene.servers;
 	leaving!.shed();
@@ -81,7 +81,7 @@
 	t.assert.ok(requestsAfter(leaving!, from) > 10);
 });
 
-test('another region serves when all servers of a region leave', async (t: TestContext) => {
+test('another region serves when all servers of a region are leaving', async (t: TestContext) => {
 	const scene = await setUp(t, 2, singleResponse, {}, twoRegions);
 	await sendSteadily(scene, 40, 500);
 	const from = await announceAndDrain(scene, scene.servers[0]!);
@@ -93,7 +93,7 @@
 	);
 });
 
-test('requests are refused at once when all servers leave', async (t: TestContext) => {
+test('requests are refused at once when all servers are leaving', async (t: TestContext) => {
 	const scene = await setUp(t, 1, singleResponse);
 	const from = await announceAndDrain(scene, scene.servers[0]!);
 	const answers = await sendSteadily(scene, 40, 1000);
--- a/tests/gateway/limited-server.test.ts
+++ b/tests/gateway/limited-server.test.ts
@@ -10,11 +10,11 @@
 	singleResponse,
 } from './statement-scene.ts';
 
-// After a limit is named for the first time nodes have so long to take it in, in milliseconds: a fifth of what a slow
-// network is given.
-const takingInMs = 1000;
+// Time in which nodes apply a limit that is stated for the first time, in milliseconds: a fifth of what a slow network
+// is allowed.
+const applyMs = 1000;
 
-// In any such span a server gets no more than half as much again as its limit allows, and a few on top.
+// Within any such span a server receives at most 1.5 times its limit, and a few requests more.
 const spanMs = 4000;
 const allowedIn = (perSecond: number): number =>
 	1.5 * perSecond * (spanMs / 1000) + 5;
@@ -26,7 +26,7 @@
 	);
 
 const cases = [
-	{name: 'whole answers', answer: singleResponse, limit: 6, route: {}},
+	{name: 'single responses', answer: singleResponse, limit: 6, route: {}},
 	{name: 'streams', answer: streamResponse, limit: 6, route: {}},
 	{
 		name: 'streams that may be resumed',
@@ -43,14 +43,14 @@
 ] as const;
 
 for (const {name, answer, limit, route} of cases) {
-	test(`${name}: a server gets from all nodes together what it has named`, async (t: TestContext) => {
+	test(`${name}: a server receives from all nodes together no more than its stated limit`, async (t: TestContext) => {
 		const scene = await setUp(t, 4, answer, route);
 		const [limited] = scene.servers;
 		await sendSteadily(scene, 80, 500);
 		limited!.setLimit(limit);
-		const namedAt = performance.now();
-		const answers = await sendSteadily(scene, 80, takingInMs + 2 * spanMs);
-		const most = mostIn(limited!.arrivals, namedAt + takingInMs);
+		const statedAt = performance.now();
+		const answers = await sendSteadily(scene, 80, applyMs + 2 * spanMs);
+		const most = mostIn(limited!.arrivals, statedAt + applyMs);
 		t.assert.ok(
 			most <= allowedIn(limit),
 			`${most} in ${spanMs} ms, allowed ${allowedIn(limit)}`,
@@ -62,48 +62,50 @@
 	});
 }
 
-test('a limit that falls is kept, and the server is used again when it ends', async (t: TestContext) => {
+test('a lowered limit is enforced, and the server is used fully again when it ends', async (t: TestContext) => {
 	const scene = await setUp(t, 3, singleResponse);
 	const [limited] = scene.servers;
 	await sendSteadily(scene, 80, 500);
 	limited!.setLimit(20);
-	await sendSteadily(scene, 80, takingInMs + spanMs);
+	await sendSteadily(scene, 80, applyMs + spanMs);
 	limited!.setLimit(3);
-	const fellAt = performance.now();
-	await sendSteadily(scene, 80, takingInMs + spanMs);
-	const most = mostIn(limited!.arrivals, fellAt + takingInMs);
+	const loweredAt = performance.now();
+	await sendSteadily(scene, 80, applyMs + spanMs);
+	const most = mostIn(limited!.arrivals, loweredAt + applyMs);
 	t.assert.ok(most <= allowedIn(3), `${most} in ${spanMs} ms`);
 	limited!.setLimit(undefined);
 	await sendSteadily(scene, 80, 2000);
 	const endedAt = performance.now();
 	await sendSteadily(scene, 80, 2000);
 	const again = limited!.arrivals.filter(({at}) => at >= endedAt).length;
-	// A third of the requests is its part of them; half of that shows that all nodes use it.
+	// A third of the requests is the share of the server; half of that shows that all nodes use it.
 	t.assert.ok(again >= (160 / 3) * 0.5, `${again} of 160`);
 });
 
-test('a limited server is used up, by the urgent first; the rest is refused at once', async (t: TestContext) => {
+test('a limited server is used up to its limit, by urgent requests first, and the rest is refused at once', async (t: TestContext) => {
 	const limit = 12;
 	const scene = await setUp(t, 1, singleResponse);
 	const [limited] = scene.servers;
 	await sendSteadily(scene, 20, 500);
 	limited!.setLimit(limit);
-	await sendSteadily(scene, 40, takingInMs);
+	await sendSteadily(scene, 40, applyMs);
 	const startedAt = performance.now();
 	const answers = await sendSteadily(scene, 40, 2 * spanMs, (index) =>
 		index % 16 < 8 ? '/a/draft' : '/urgent/draft',
 	);
-	const taken = limited!.arrivals.filter(
+	const accepted = limited!.arrivals.filter(
 		({at, method}) => at >= startedAt && method === 'POST',
 	);
 	const most = mostIn(limited!.arrivals, startedAt);
 	t.assert.ok(most <= allowedIn(limit), `${most} in ${spanMs} ms`);
 	const full = (limit * 2 * spanMs) / 1000;
-	t.assert.ok(taken.length >= full * 0.7, `${taken.length} of ${full}`);
-	const urgent = taken.filter(({body}) => body.startsWith('/urgent/')).length;
+	t.assert.ok(accepted.length >= full * 0.7, `${accepted.length} of ${full}`);
+	const urgent = accepted.filter(({body}) =>
+		body.startsWith('/urgent/'),
+	).length;
 	t.assert.ok(
-		urgent > taken.length * 0.6,
-		`${urgent} urgent of ${taken.length}`,
+		urgent > accepted.length * 0.6,
+		`${urgent} urgent of ${accepted.length}`,
 	);
 	t.assert.deepStrictEqual(
 		answers.filter(({status}) => status !== 200 && status !== 503),
@@ -111,7 +113,7 @@
 	);
 });
 
-test('a node that has just started keeps to a limit that it is told by the others', async (t: TestContext) => {
+test('a node that has just started applies a limit that it receives from the others', async (t: TestContext) => {
 	const limit = 4;
 	const scene = await setUp(t, 4, singleResponse);
 	const [limited] = scene.servers;
@@ -119,7 +121,7 @@
 	await sendSteadily(scene, 80, 2000);
 	await scene.deployment.restart(3);
 	await until(() => scene.deployment.nodes[3]!.isReady());
-	await sleep(takingInMs);
+	await sleep(applyMs);
 	const from = performance.now();
 	await sendSteadily(scene, 80, spanMs + 500);
 	const most = mostIn(limited!.arrivals, from);
--- a/tests/gateway/resting-server.test.ts
+++ b/tests/gateway/resting-server.test.ts
@@ -11,63 +11,68 @@
 	singleResponse,
 } from './statement-scene.ts';
 
-const restMs = 3000;
-// Requests that were under way when a node received the refusal may still arrive, in milliseconds.
+const backoffMs = 3000;
+// Time in which requests may still arrive that were in flight when a node received the refusal, in milliseconds.
 const inFlightMs = 500;
-// A node may send this many requests to a resting server.
-const allowedPerRest = 2;
+// A node may send this many requests to a server during a backoff.
+const allowedPerBackoff = 2;
 
 const pathOf = (index: number): string => `/a/${index % nodes}`;
 
-// The most requests of one node within a rest that the server asked it for.
-const mostWithinRest = ({arrivals}: StatementServer): number => {
+// Maximum requests of one node during a backoff that the server requested from it.
+const mostWithinBackoff = ({arrivals}: StatementServer): number => {
 	const byNode = Map.groupBy(arrivals, ({body}) => body);
 	const counts = byNode
 		.values()
-		.flatMap((ofNode) => ofNode.map((arrival) => withinRest(arrival, ofNode)));
+		.flatMap((ofNode) =>
+			ofNode.map((arrival) => withinBackoff(arrival, ofNode)),
+		);
 	return Math.max(0, ...counts);
 };
 
-const withinRest = (
+const withinBackoff = (
 	{at, isRefused}: Arrival,
 	arrivals: readonly Arrival[],
 ): number =>
 	isRefused
 		? arrivals.filter(
-				(other) => other.at > at + inFlightMs && other.at < at + restMs,
+				(other) => other.at > at + inFlightMs && other.at < at + backoffMs,
 			).length
 		: 0;
 
-test('a server that refuses with Retry-After receives no more from that node until the rest is over', async (t: TestContext) => {
+test('a server that refuses with Retry-After receives no more from that node until the backoff has passed', async (t: TestContext) => {
 	const scene = await setUp(t, 3, singleResponse);
-	const [resting] = scene.servers;
+	const [backingOff] = scene.servers;
 	await sendSteadily(scene, 80, 500, pathOf);
-	resting!.shed(String(restMs / 1000));
-	const answers = await sendSteadily(scene, 80, 2 * restMs, pathOf);
-	const most = mostWithinRest(resting!);
-	t.assert.ok(most <= allowedPerRest, `${most}, allowed ${allowedPerRest}`);
+	backingOff!.shed(String(backoffMs / 1000));
+	const answers = await sendSteadily(scene, 80, 2 * backoffMs, pathOf);
+	const most = mostWithinBackoff(backingOff!);
+	t.assert.ok(
+		most <= allowedPerBackoff,
+		`${most}, allowed ${allowedPerBackoff}`,
+	);
 	t.assert.deepStrictEqual(
 		answers.filter(({status}) => status !== 200),
 		[],
 	);
 });
 
-test('nodes that a resting server did not ask go on sending to it', async (t: TestContext) => {
+test('nodes without a Retry-After from a server continue to send to it', async (t: TestContext) => {
 	const scene = await setUp(t, 2, singleResponse);
-	const [resting] = scene.servers;
-	resting!.shed(String(restMs / 1000), (body) => body === '/a/0');
+	const [backingOff] = scene.servers;
+	backingOff!.shed(String(backoffMs / 1000), (body) => body === '/a/0');
 	await sendSteadily(scene, 80, 1000, pathOf);
 	const from = performance.now();
 	await sendSteadily(scene, 80, 1500, pathOf);
 	const senders = new Set(
-		resting!.arrivals.filter(({at}) => at >= from).map(({body}) => body),
+		backingOff!.arrivals.filter(({at}) => at >= from).map(({body}) => body),
 	);
 	t.assert.ok(!senders.has('/a/0'));
-	// The other nodes of its zone; those of the other zone have a server nearby.
+	// The other nodes of its zone; those of the other zone have a server of their own.
 	t.assert.ok(senders.size >= nodes / 2 - 1);
 });
 
-test('requests are refused at once, until the first rest ends, when all servers rest', async (t: TestContext) => {
+test('requests are refused at once while all servers are in backoff, with the time until the first backoff ends', async (t: TestContext) => {
 	const scene = await setUp(t, 2, singleResponse);
 	for (const server of scene.servers) {
 		server.shed('30');
@@ -83,7 +88,7 @@
 		);
 	}
 
-	// Between 30 s after the first refusal and 30 s after the last one, less what has passed.
+	// Between 30 s after the first refusal and 30 s after the last one, minus the time that has passed.
 	t.assert.ok(answers.every(({status}) => status === 503));
 	t.assert.ok(
 		answers.every(({retryAfter = 0}) => retryAfter > 25 && retryAfter <= 31),
@@ -91,11 +96,11 @@
 	);
 });
 
-test('another region serves when all servers of a region rest', async (t: TestContext) => {
+test('another region serves when all servers of a region are in backoff', async (t: TestContext) => {
 	const scene = await setUp(t, 2, singleResponse, {}, twoRegions);
-	const [resting, other] = scene.servers;
+	const [backingOff, other] = scene.servers;
 	await sendSteadily(scene, 40, 500, pathOf);
-	resting!.shed('30');
+	backingOff!.shed('30');
 	await sendSteadily(scene, 40, 1000, pathOf);
 	const from = performance.now();
 	const answers = await sendSteadily(scene, 40, 1500, pathOf);
@@ -104,19 +109,19 @@
 		[],
 	);
 	t.assert.strictEqual(
-		resting!.arrivals.filter(({at}) => at >= from).length,
+		backingOff!.arrivals.filter(({at}) => at >= from).length,
 		0,
 	);
 	t.assert.ok(other!.arrivals.filter(({at}) => at >= from).length >= 50);
 });
 
-test('a rest belongs to one life of a server', async (t: TestContext) => {
+test('a backoff applies to one incarnation of a server', async (t: TestContext) => {
 	const scene = await setUp(t, 2, singleResponse);
-	const [resting] = scene.servers;
-	resting!.shed('60');
+	const [backingOff] = scene.servers;
+	backingOff!.shed('60');
 	await sendSteadily(scene, 80, 1000, pathOf);
 	const from = performance.now();
-	resting!.restart(1000);
+	backingOff!.restart(1000);
 	await sendSteadily(scene, 80, 2000, pathOf);
-	t.assert.ok(resting!.arrivals.filter(({at}) => at >= from).length > 10);
+	t.assert.ok(backingOff!.arrivals.filter(({at}) => at >= from).length > 10);
 });
--- a/tests/gateway/restored-registry.test.ts
+++ b/tests/gateway/restored-registry.test.ts
@@ -16,7 +16,7 @@
 	type Scene,
 } from './statement-scene.ts';
 
-// A change binds all nodes this long after the registry has it, in milliseconds.
+// Time in which all nodes apply a change of the registry, in milliseconds.
 const applyMs = 3000;
 
 const writeVersion = (registry: StandInRegistry, version: number) => {
@@ -36,7 +36,7 @@
 const setUpWith = async (t: TestContext, hasEras: boolean): Promise<Scene> =>
 	setUp(t, 2, singleResponse, {}, undefined, createStandInRegistry({hasEras}));
 
-// The registry is away for a moment and comes back from the copy that it was after a revision.
+// Stops the registry for a moment and restores it from a copy made at a revision.
 const restore = async (registry: StandInRegistry, revision: number) => {
 	registry.setUp(false);
 	await sleep(600);
@@ -58,7 +58,7 @@
 for (const hasEras of [true, false]) {
 	const kind = hasEras ? 'with eras' : 'without eras';
 
-	test(`routes added after a registry ${kind} came back from a copy are served by all nodes in time`, async (t: TestContext) => {
+	test(`routes added after a registry ${kind} was restored from a copy are served by all nodes within 3 s`, async (t: TestContext) => {
 		const {deployment, registry} = await setUpWith(t, hasEras);
 		const copy = registry.revision();
 		for (const version of [2, 3, 4]) {
@@ -75,7 +75,7 @@
 		);
 	});
 
-	test(`a server whose shutdown is written after a registry ${kind} came back from a copy receives nothing after 3 s`, async (t: TestContext) => {
+	test(`a server whose shutdown is written after a registry ${kind} was restored from a copy receives nothing after 3 s`, async (t: TestContext) => {
 		const {deployment, registry, servers} = await setUpWith(t, hasEras);
 		const copy = registry.revision();
 		for (const version of [2, 3, 4]) {
--- a/tests/gateway/server-answers-fuzz.test.ts
+++ b/tests/gateway/server-answers-fuzz.test.ts
@@ -9,7 +9,7 @@
 import {replies, startBrokenServer, type Reply} from './broken-server.ts';
 import {documentOf, routeOf, serviceOf} from './fixtures.ts';
 
-test('whatever a backend server sends, its caller gets its own answer whole or a refusal', async (t: TestContext) => {
+test('whatever a backend server sends, the caller receives the complete answer to its own request or a refusal', async (t: TestContext) => {
 	let reply: Reply | undefined;
 	const broken = await startBrokenServer(t, () => reply!);
 	const deployment = await startGateways({north: 'upland'}, 1);
--- a/tests/gateway/sharing/node-shares.test.ts
+++ b/tests/gateway/sharing/node-shares.test.ts
@@ -92,7 +92,7 @@
 						self,
 						others,
 						() => 0,
-					).connectionsTo(service, server);
+					).connectionShare(service, server);
 					assert.ok(maximum > 0);
 					held += isPersistent ? maximum : 0;
 				}
--- a/tests/gateway/statement-scene.ts
+++ b/tests/gateway/statement-scene.ts
@@ -26,7 +26,7 @@
 };
 
 /**
-Two regions with one zone each; nodes and servers are in them by turns.
+Two regions with one zone each; nodes and servers are assigned to them alternately.
 */
 export const twoRegions: Readonly<Record<string, string>> = {
 	'north-1': 'upland',
@@ -56,13 +56,13 @@
 	readonly status: number;
 	readonly totalMs: number;
 	/**
-	Seconds after which the caller should come back, if the answer names any.
+	Seconds after which the caller should retry, if the answer states any.
 	*/
 	readonly retryAfter: number | undefined;
 };
 
 /**
-Starts nodes of one region, if not said otherwise, and servers of one service.
+Starts nodes, in one region by default, and servers of one service.
 */
 export const setUp = async (
 	t: TestContext,
@@ -117,7 +117,7 @@
 			(node) => node.isReady() && node.entryAddresses('', '').length === nodes,
 		),
 	);
-	// Nodes know by then how many they are.
+	// By then nodes have settled: each knows all others.
 	await sleep(2600);
 	return {deployment, registry, servers: started};
 };
@@ -154,7 +154,7 @@
 };
 
 /**
-Sends requests at an even pace, to all nodes in turn.
+Sends requests at a constant rate, to all nodes in turn.
 */
 export const sendSteadily = async (
 	{deployment: {callerAddresses}}: Scene,
--- a/tests/gateway/suspended-machine.test.ts
+++ b/tests/gateway/suspended-machine.test.ts
@@ -1,5 +1,5 @@
-// A machine may be suspended for seconds: its steady clock stands still meanwhile, and by it all that a node knew before
-// would seem fresh when it goes on. Nothing was seen to go wrong; the clocks of the node's machine are played here.
+// Guards against outdated state that seems fresh after a machine was suspended: its monotonic clock stops meanwhile, so
+// that ages do not grow. The clocks of the machine are simulated.
 import {test, type TestContext} from 'node:test';
 import {request} from 'undici';
 import {freshRoutesMs} from '../../src/gateway/index.ts';
@@ -10,7 +10,7 @@
 import {until} from '../until.ts';
 import {documentOf} from './fixtures.ts';
 
-// Longer than what was read last stays certain.
+// Longer than routes are considered fresh.
 const suspendedMs = 3 * freshRoutesMs;
 
 const setUp = async (t: TestContext) => {
@@ -47,7 +47,7 @@
 	};
 };
 
-test('what was read before a suspension is not taken for certain after it', async (t: TestContext) => {
+test('routes that were read before a suspension are not considered fresh after it', async (t: TestContext) => {
 	const {suspend, askUnknownPath} = await setUp(t);
 	t.assert.strictEqual(await askUnknownPath(), 404);
 	suspend();
--- a/tests/gateway/tick-schedule.test.ts
+++ b/tests/gateway/tick-schedule.test.ts
@@ -4,7 +4,7 @@
 	gatewayTickMs,
 } from '../../src/gateway/tick-schedule.ts';
 
-test('the loop is late without bound until a tick was due, then by that tick and by one that is overdue', (t: TestContext) => {
+test('the loop delay is infinite before the first scheduled tick, then that of the last tick or of an overdue one', (t: TestContext) => {
 	t.mock.timers.enable({apis: ['setTimeout']});
 	let now = 0;
 	let ticked = 0;
