--- a/src/prompts/cache-reader.ts
+++ b/src/prompts/cache-reader.ts
@@ -9,47 +9,47 @@
 import type {PromptChange} from './prompt-map.ts';
 
 /**
-An engine whose memory is read.
+An engine whose prompt cache is read.
 */
 export type CacheEngine = {
 	readonly id: string;
 	readonly address: Address;
 	/**
-	Tells the lives of an engine apart that keeps its id.
+	Distinguishes the incarnations of an engine that keeps its id.
 	*/
 	readonly startedAt?: number;
 };
 
 /**
-Reads the memory of the engines of the own zone while this node has the duty to.
+Reads the prompt caches of the engines in this node's zone while this node holds that role.
 */
 export type CacheReader = KeyedLoops;
 
 /**
-What a reader is built from.
+The engines that a reader polls, its pacing, and the target of the changes.
 */
 export type CacheReaderOptions = {
 	readonly source: CacheSource;
 	/**
-	The engines to read now; none where the duty is another node's.
+	The engines to read now; none while another node holds the role.
 	*/
 	readonly engines: () => readonly CacheEngine[];
 	readonly publish: (changes: readonly PromptChange[]) => void;
 	readonly minimumTokens: number;
 	/**
-	Milliseconds between two questions to an engine at the least, where it bounds what it is asked; 0 where it does not.
+	Minimum interval between two reads of an engine that limits its requests, in milliseconds; 0 if it has no limit.
 	*/
 	readonly minimumIntervalMs: (engine: CacheEngine) => number;
 	/**
-	Milliseconds for which an engine must not be asked anything; 0 where it may be.
+	Remaining backoff during which an engine must not be sent any requests, in milliseconds; 0 if there is none.
 	*/
 	readonly backoffMs: (engine: CacheEngine) => number;
 	/**
-	Milliseconds that only rise.
+	Monotonic time in milliseconds.
 	*/
 	readonly clock: () => number;
 	/**
-	Told the head of each answer, and when its request was sent.
+	Called with the head of each answer and the time at which its request was sent.
 	*/
 	readonly onHead: (
 		engine: CacheEngine,
@@ -60,8 +60,8 @@
 };
 
 /**
-Pause between two questions to one engine, in milliseconds. Answers that come at once are paid for,
-and a prompt's home is asked for some times a second at the most.
+Pause between two reads of one engine, in milliseconds. An answer that comes at once costs a call, and the engine that
+caches a prompt is looked up only a few times per second.
 */
 export const cacheReadIntervalMs = 700;
 
@@ -71,20 +71,20 @@
 export const cacheRetryIntervalMs = 2000;
 
 /**
-Builds a reader that reads nothing yet.
+Creates a reader that reads no engine yet.
 */
 export const createCacheReader = (options: CacheReaderOptions): CacheReader => {
-	const livesRead = new Map<string, number | undefined>();
+	const startTimes = new Map<string, number | undefined>();
 
-	// An engine that has started again holds nothing of what was read of its earlier life.
-	const beginTurn = (engine: CacheEngine): LoopIteration => {
+	// A restarted engine caches nothing of what was read from its earlier incarnation.
+	const beginIteration = (engine: CacheEngine): LoopIteration => {
 		const {id, startedAt} = engine;
-		if (livesRead.has(id) && livesRead.get(id) !== startedAt) {
+		if (startTimes.has(id) && startTimes.get(id) !== startedAt) {
 			options.publish([[id, '', 0]]);
 		}
 
-		livesRead.set(id, startedAt);
-		return createTurn(options, engine);
+		startTimes.set(id, startedAt);
+		return createIteration(options, engine);
 	};
 
 	return createKeyedLoops(
@@ -94,11 +94,11 @@
 					.engines()
 					.map((engine) => [`${engine.id} ${engine.startedAt ?? ''}`, engine]),
 			),
-		beginTurn,
+		beginIteration,
 	);
 };
 
-const createTurn = (
+const createIteration = (
 	{
 		source,
 		publish,
@@ -131,12 +131,12 @@
 		if (answer.kind === 'unavailable') {
 			logger.debug(
 				{server: engine.id, reason: answer.reason},
-				'memory of an engine cannot be read',
+				'prompt cache of an engine cannot be read',
 			);
 			return Math.max(cacheRetryIntervalMs, minimumIntervalMs(engine));
 		}
 
-		// A restart empties the memory; what was told of it before no longer holds.
+		// A restart empties the cache, so that earlier changes are no longer valid.
 		const isRestarted = epoch !== undefined && epoch !== answer.epoch;
 		({epoch, next: since} = answer);
 		publish([
--- a/src/prompts/cache-source.ts
+++ b/src/prompts/cache-source.ts
@@ -1,28 +1,28 @@
 import type {Address} from '../shared/index.ts';
 
 /**
-A prompt part that an engine has begun or ceased to keep in its memory.
+A prompt part that an engine has started or stopped caching.
 */
 export type CacheEvent = {
 	readonly part: string;
 	/**
-	Tokens that are kept now; 0 once the part has given way.
+	Number of tokens that are cached now; 0 after the part was evicted.
 	*/
 	readonly tokens: number;
 };
 
 /**
-What an engine tells of its memory.
+The answer of an engine to a read of its prompt cache.
 */
 export type CacheAnswer =
 	| {
 			readonly kind: 'events';
 			/**
-			Changes when the engine restarts, which empties its memory.
+			Changes when the engine restarts, which empties its cache.
 			*/
 			readonly epoch: string;
 			/**
-			Where to go on reading.
+			The position at which to continue reading.
 			*/
 			readonly next: number;
 			readonly events: readonly CacheEvent[];
@@ -38,13 +38,13 @@
 };
 
 /**
-Where the memory of engines is read.
+The source from which the prompt caches of engines are read.
 */
 export type CacheSource = {
 	/**
-	What changed after `since`; held for a while when there is nothing. Never throws.
+	Reads the events after `since`, as a long poll. Never rejects.
 
-	@param onHead Told the head of the answer, if there is one.
+	@param onHead Called with the head of the answer, if there is one.
 	*/
 	events(
 		engine: {readonly id: string; readonly address: Address},
--- a/src/prompts/feed-follower.ts
+++ b/src/prompts/feed-follower.ts
@@ -8,7 +8,7 @@
 import type {PromptChange} from './prompt-map.ts';
 
 /**
-A node whose feed is followed.
+A node whose prompt feed is followed.
 */
 export type FeedSource = {
 	readonly id: string;
@@ -17,12 +17,12 @@
 };
 
 /**
-Follows the feeds of other nodes as nodes and duties change.
+Follows the prompt feeds of other nodes, and adapts as nodes and their roles change.
 */
 export type FeedFollower = KeyedLoops;
 
 /**
-What a follower is built from.
+The feeds that a follower reads, and the target of their changes.
 */
 export type FeedFollowerOptions = {
 	/**
@@ -30,18 +30,18 @@
 	*/
 	readonly sources: () => readonly FeedSource[];
 	/**
-	Undefined where the node does not answer.
+	Sends a query to a node; returns undefined if the node does not answer.
 	*/
 	readonly ask: (
 		source: FeedSource,
-		question: FeedQuery,
+		query: FeedQuery,
 	) => Promise<FeedAnswer | undefined>;
 	readonly publish: (changes: readonly PromptChange[]) => void;
 };
 
 /**
-Pause between two questions to one node, in milliseconds: several changes come with one answer, and
-questions between regions are paid for by their bytes.
+Pause between two queries to one node, in milliseconds. It batches several changes into one answer, because traffic
+between regions is billed by the byte.
 */
 export const feedIntervalMs: Readonly<Record<FeedScope, number>> = {
 	all: 300,
@@ -54,17 +54,17 @@
 export const feedRetryIntervalMs = 1500;
 
 /**
-Builds a follower that follows nobody yet.
+Creates a follower that follows no node yet.
 */
 export const createFeedFollower = (
 	options: FeedFollowerOptions,
 ): FeedFollower =>
 	createKeyedLoops(
 		() => new Map(options.sources().map((source) => [keyOf(source), source])),
-		(source) => createTurn(options, source),
+		(source) => createIteration(options, source),
 	);
 
-const createTurn = (
+const createIteration = (
 	{ask, publish}: FeedFollowerOptions,
 	source: FeedSource,
 ): LoopIteration => {
@@ -83,7 +83,7 @@
 		}
 
 		({epoch, next: after} = answer);
-		publish(answer.isWhole ? wholeOf(answer.changes) : answer.changes);
+		publish(answer.isWhole ? replacementOf(answer.changes) : answer.changes);
 		return feedIntervalMs[scope];
 	};
 };
@@ -91,8 +91,10 @@
 const keyOf = ({id, address, scope}: FeedSource): string =>
 	`${id} ${address} ${scope}`;
 
-// What is known of a server gives way to what a whole answer says of it.
-const wholeOf = (changes: readonly PromptChange[]): readonly PromptChange[] => {
+// A full answer about a server replaces what was known of that server.
+const replacementOf = (
+	changes: readonly PromptChange[],
+): readonly PromptChange[] => {
 	const servers = new Set(changes.map(([server]) => server));
 	return [
 		...[...servers].map((server) => [server, '', 0] as const),
--- a/src/prompts/prompt-feed.ts
+++ b/src/prompts/prompt-feed.ts
@@ -2,81 +2,81 @@
 import type {PromptChange, PromptMap} from './prompt-map.ts';
 
 /**
-Which part of a node's map another node asks for: that of the engines of its own zone, or all of it.
+The parts of a node's map that another node can query: the engines in the answering node's zone, or all engines.
 */
 export const feedScopes = ['zone', 'all'] as const;
 
 /**
-One of the scopes.
+The scope of a query.
 */
 export type FeedScope = (typeof feedScopes)[number];
 
 /**
-A question for what changed in a node's map.
+A query for the changes of a node's map.
 */
 export type FeedQuery = {
 	readonly scope: FeedScope;
 	/**
-	Of the last answer; empty at first.
+	The epoch of the last answer; empty in the first query.
 	*/
 	readonly epoch: string;
 	readonly after: number;
 };
 
 /**
-What changed in a node's map.
+The changes of a node's map.
 */
 export type FeedAnswer = {
 	/**
-	Names one life of the answering node.
+	Identifies one run of the answering node's process.
 	*/
 	readonly epoch: string;
 	readonly next: number;
 	/**
-	Whether the changes are everything that is known, in place of what was told before.
+	Whether the changes are the full map, which replaces earlier answers.
 	*/
 	readonly isWhole: boolean;
 	readonly changes: readonly PromptChange[];
 };
 
 /**
-Tells other nodes what this node knows of the memory of engines.
+Serves this node's knowledge of the engines' prompt caches to other nodes.
 */
 export type PromptFeed = {
 	/**
-	Takes in changes, and tells them on where they are news.
+	Applies changes to the map, and adds those that are new to the feed.
 	*/
 	publish(changes: readonly PromptChange[]): void;
 	/**
-	Held for a while when there is nothing.
+	Answers a query; a long poll while there are no changes.
 	*/
-	answer(question: FeedQuery): Promise<FeedAnswer>;
+	answer(query: FeedQuery): Promise<FeedAnswer>;
 };
 
 /**
-What a feed is built from.
+The map that a feed serves.
 */
 export type PromptFeedOptions = {
 	readonly epoch: string;
 	readonly map: PromptMap;
 	/**
-	Whether a backend server is one of the own zone.
+	Whether a backend server is in this node's zone.
 	*/
 	readonly isInZone: (server: string) => boolean;
 };
 
 /**
-How long a question is held when there is nothing to tell, in milliseconds.
+Maximum duration of a long poll without changes, in milliseconds.
 */
 export const feedLongPollMs = 1900;
 
 /**
-Changes that are kept for other nodes; one that is further behind is told everything.
+Maximum number of changes retained for other nodes. A node that is further behind receives the full map.
 */
 export const maximumFeedChanges = 1000;
 
 /**
-Builds a feed without changes.
+Creates a feed without changes.
 */
 export const createPromptFeed = ({
 	epoch,
@@ -84,7 +84,7 @@
 	isInZone,
 }: PromptFeedOptions): PromptFeed => {
 	const log: PromptChange[] = [];
-	const held = createLongPollWaiters();
+	const waiters = createLongPollWaiters();
 	let next = 0;
 
 	const isWanted = (scope: FeedScope, [server]: PromptChange): boolean => {
@@ -99,35 +99,35 @@
 		}
 	};
 
-	const answerNow = (question: FeedQuery): FeedAnswer => {
-		const missing = next - question.after;
+	const answerNow = (query: FeedQuery): FeedAnswer => {
+		const missing = next - query.after;
 		const isWhole =
-			question.epoch !== epoch || missing < 0 || missing > log.length;
+			query.epoch !== epoch || missing < 0 || missing > log.length;
 		const changes = isWhole ? map.changes() : log.slice(log.length - missing);
 		return {
 			epoch,
 			next,
 			isWhole,
-			changes: changes.filter((change) => isWanted(question.scope, change)),
+			changes: changes.filter((change) => isWanted(query.scope, change)),
 		};
 	};
 
 	return {
 		publish(changes) {
-			const news = changes.filter((change) => map.apply(change));
-			next += news.length;
-			log.push(...news);
+			const newChanges = changes.filter((change) => map.apply(change));
+			next += newChanges.length;
+			log.push(...newChanges);
 			log.splice(0, Math.max(0, log.length - maximumFeedChanges));
-			if (news.length > 0) {
-				held.release();
+			if (newChanges.length > 0) {
+				waiters.release();
 			}
 		},
-		async answer(question) {
-			if (question.epoch === epoch && question.after === next) {
-				await held.wait(feedLongPollMs);
+		async answer(query) {
+			if (query.epoch === epoch && query.after === next) {
+				await waiters.wait(feedLongPollMs);
 			}
 
-			return answerNow(question);
+			return answerNow(query);
 		},
 	};
 };
--- a/src/prompts/prompt-map.ts
+++ b/src/prompts/prompt-map.ts
@@ -1,6 +1,6 @@
 /**
-One change: the tokens of a part that a backend server keeps, 0 for none. An empty part stands for all
-parts of the server.
+One change: the number of tokens of a prompt part that a backend server caches; 0 if it caches none. An empty part
+stands for all parts of the server.
 */
 export type PromptChange = readonly [
 	server: string,
@@ -9,40 +9,40 @@
 ];
 
 /**
-Which backend server keeps which long prompt part, as far as was heard.
+Which backend servers cache which long prompt parts, as far as this node knows.
 */
 export type PromptMap = {
 	/**
-	Whether the change is news.
+	Applies a change; returns whether it changed the map.
 	*/
 	apply(change: PromptChange): boolean;
 	holds(server: string, part: string): boolean;
 	/**
-	Backend servers that keep a part.
+	The backend servers that cache a part.
 	*/
 	holders(part: string): readonly string[];
 	servers(): readonly string[];
 	/**
-	All that is known, as changes to an empty map.
+	The full map, as changes to an empty map.
 	*/
 	changes(): readonly PromptChange[];
 	clear(): void;
 };
 
 /**
-Parts that are remembered for one backend server at the most, the latest ones: as many long parts as
-the memory of an engine holds, several times over.
+Maximum number of parts remembered per backend server; the oldest is evicted first. It is several times the number of
+long parts that the memory of an engine holds.
 */
 export const maximumPartsPerServer = 400;
 
 /**
-Builds an empty map.
+Creates an empty map.
 */
 export const createPromptMap = (): PromptMap => {
 	const byServer = new Map<string, Map<string, number>>();
 	const byPart = new Map<string, Set<string>>();
 
-	const hasDropped = (server: string, part: string): boolean => {
+	const didRemove = (server: string, part: string): boolean => {
 		const holders = byPart.get(part);
 		holders?.delete(server);
 		if (holders?.size === 0) {
@@ -52,44 +52,40 @@
 		return byServer.get(server)?.delete(part) ?? false;
 	};
 
-	const hasDroppedServer = (server: string): boolean => {
+	const didRemoveServer = (server: string): boolean => {
 		for (const part of byServer.get(server)?.keys() ?? []) {
-			hasDropped(server, part);
+			didRemove(server, part);
 		}
 
 		return byServer.delete(server);
 	};
 
-	const isKeptAnew = (
-		server: string,
-		part: string,
-		tokens: number,
-	): boolean => {
+	const didAdd = (server: string, part: string, tokens: number): boolean => {
 		const parts = byServer.get(server) ?? new Map<string, number>();
 		byServer.set(server, parts);
-		const isNews = parts.get(part) !== tokens;
-		// Entered anew, so that the first key is the one heard of longest ago.
+		const isNew = parts.get(part) !== tokens;
+		// Deletes and sets the key, so that the first key is the least recently updated one.
 		parts.delete(part);
 		parts.set(part, tokens);
 		const holders = byPart.get(part) ?? new Set<string>();
 		byPart.set(part, holders.add(server));
 		if (parts.size > maximumPartsPerServer) {
 			const [oldest = ''] = parts.keys();
-			hasDropped(server, oldest);
+			didRemove(server, oldest);
 		}
 
-		return isNews;
+		return isNew;
 	};
 
 	return {
 		apply([server, part, tokens]) {
 			if (part === '') {
-				return hasDroppedServer(server);
+				return didRemoveServer(server);
 			}
 
 			return tokens > 0
-				? isKeptAnew(server, part, tokens)
-				: hasDropped(server, part);
+				? didAdd(server, part, tokens)
+				: didRemove(server, part);
 		},
 		holds: (server, part) => byPart.get(part)?.has(server) ?? false,
 		holders: (part) => [...(byPart.get(part) ?? [])],
--- a/tests/prompts/cache-reader.test.ts
+++ b/tests/prompts/cache-reader.test.ts
@@ -13,15 +13,15 @@
 
 const setUp = ({mock}: TestContext, answers: readonly CacheAnswer[]) => {
 	mock.timers.enable({apis: ['setTimeout']});
-	const asked: number[] = [];
+	const requested: number[] = [];
 	const published: PromptChange[] = [];
 	let engines: readonly CacheEngine[] = [engine];
 	const reader = createCacheReader({
 		source: {
 			async events(_engine, since) {
-				asked.push(since);
+				requested.push(since);
 				return (
-					answers[asked.length - 1] ?? {kind: 'unavailable', reason: 'over'}
+					answers[requested.length - 1] ?? {kind: 'unavailable', reason: 'over'}
 				);
 			},
 			close: async () => undefined,
@@ -46,10 +46,10 @@
 
 	return {
 		reader,
-		asked,
+		requested,
 		published,
 		pass,
-		loseDuty() {
+		loseRole() {
 			engines = [];
 		},
 	};
@@ -66,15 +66,15 @@
 	events: events.map(([part, tokens]) => ({part, tokens})),
 });
 
-test('an engine is read on from where the last answer ended, short parts left out', async (t: TestContext) => {
-	const {reader, asked, published, pass} = setUp(t, [
+test('a read continues where the last answer ended, and short parts are left out', async (t: TestContext) => {
+	const {reader, requested, published, pass} = setUp(t, [
 		eventsOf('one', 4, ['p', 13_000], ['short', 90]),
 		eventsOf('one', 6, ['p', 0]),
 	]);
 	reader.tick();
 	await pass(0);
 	await pass(cacheReadIntervalMs);
-	t.assert.deepStrictEqual(asked, [0, 4]);
+	t.assert.deepStrictEqual(requested, [0, 4]);
 	t.assert.deepStrictEqual(published, [
 		['a', 'p', 13_000],
 		['a', 'p', 0],
@@ -82,7 +82,7 @@
 	reader.stop();
 });
 
-test('a restart empties what was known of the engine', async (t: TestContext) => {
+test('a restart of an engine clears what was known of its cache', async (t: TestContext) => {
 	const {reader, published, pass} = setUp(t, [
 		eventsOf('one', 4, ['p', 13_000]),
 		eventsOf('two', 1, ['q', 13_000]),
@@ -98,16 +98,16 @@
 	reader.stop();
 });
 
-test('an engine that does not answer is asked again later, and not once the duty is gone', async (t: TestContext) => {
-	const {reader, asked, pass, loseDuty} = setUp(t, []);
+test('an engine that does not answer is read again later, unless the role was lost', async (t: TestContext) => {
+	const {reader, requested, pass, loseRole} = setUp(t, []);
 	reader.tick();
 	await pass(0);
 	await pass(cacheRetryIntervalMs - 1);
-	t.assert.strictEqual(asked.length, 1);
+	t.assert.strictEqual(requested.length, 1);
 	await pass(1);
-	t.assert.strictEqual(asked.length, 2);
-	loseDuty();
+	t.assert.strictEqual(requested.length, 2);
+	loseRole();
 	reader.tick();
 	await pass(cacheRetryIntervalMs);
-	t.assert.strictEqual(asked.length, 2);
+	t.assert.strictEqual(requested.length, 2);
 });
--- a/tests/prompts/prompt-feed.test.ts
+++ b/tests/prompts/prompt-feed.test.ts
@@ -19,7 +19,7 @@
 	return {map, feed};
 };
 
-const take = (copy: PromptMap, answer: FeedAnswer) => {
+const applyAnswer = (copy: PromptMap, answer: FeedAnswer) => {
 	if (answer.isWhole) {
 		copy.clear();
 	}
@@ -35,7 +35,7 @@
 		.map(([server, part]) => `${server}/${part}`)
 		.toSorted();
 
-test('a node that asks now and then has the same map after each answer', async () => {
+test('a node that queries occasionally has the same map after each answer', async () => {
 	const steps = fc.array(
 		fc.record({
 			server: fc.constantFrom('near-1', 'near-2', 'far-1'),
@@ -59,7 +59,7 @@
 				if (isAsked && published > 0) {
 					published = 0;
 					const answer = await feed.answer({scope: 'all', epoch, after});
-					take(copy, answer);
+					applyAnswer(copy, answer);
 					({epoch, next: after} = answer);
 					assert.deepEqual(pairsOf(copy), pairsOf(map));
 				}
@@ -68,7 +68,7 @@
 	);
 });
 
-test('a question is held until there is news, and is told that only', async () => {
+test('a query is held until there are changes, and the answer contains only these', async () => {
 	const {feed} = setUp();
 	feed.publish([['near-1', 'p', 600]]);
 	const first = await feed.answer({scope: 'all', epoch: '', after: 0});
@@ -80,7 +80,7 @@
 	assert.deepEqual(changes, [['far-1', 'q', 600]]);
 });
 
-test('a node of another zone is told of the engines of this zone only', async () => {
+test('a node of another zone receives the engines of this zone only', async () => {
 	const {feed} = setUp();
 	feed.publish([
 		['near-1', 'p', 600],
@@ -90,7 +90,7 @@
 	assert.deepEqual(changes, [['near-1', 'p', 600]]);
 });
 
-test('a node that is too far behind, or asks another life, is told everything', async () => {
+test('a node that is too far behind, or states another epoch, receives the full map', async () => {
 	const {feed} = setUp();
 	for (let index = 0; index <= maximumFeedChanges; index += 1) {
 		feed.publish([['near-1', `part-${index % 3}`, 600 + index]]);
--- a/tests/prompts/prompt-map.test.ts
+++ b/tests/prompts/prompt-map.test.ts
@@ -38,9 +38,9 @@
 
 			for (const server of ['a', 'b', 'c']) {
 				for (const part of ['p', 'q', 'r']) {
-					const isKept = model.has(`${server}/${part}`);
-					assert.equal(map.holds(server, part), isKept);
-					assert.equal(map.holders(part).includes(server), isKept);
+					const isCached = model.has(`${server}/${part}`);
+					assert.equal(map.holds(server, part), isCached);
+					assert.equal(map.holders(part).includes(server), isCached);
 				}
 			}
 		}),
@@ -65,7 +65,7 @@
 	);
 });
 
-test('only news is news', () => {
+test('a change that is already known does not change the map', () => {
 	const map = createPromptMap();
 	const change: PromptChange = ['a', 'p', 600];
 	assert.equal(map.apply(change), true);
@@ -75,7 +75,7 @@
 	assert.equal(map.apply(['b', '', 0]), false);
 });
 
-test('the parts heard of longest ago give way', () => {
+test('the least recently updated parts are evicted first', () => {
 	const map = createPromptMap();
 	for (let index = 0; index <= maximumPartsPerServer; index += 1) {
 		map.apply(['a', `part-${index}`, 600]);
