--- a/src/registry/registry-follower.ts
+++ b/src/registry/registry-follower.ts
@@ -97,7 +97,7 @@
 /**
 The same pause while a node does not know yet which node reads the registry for its zone, in milliseconds. After a
 restart of all nodes, each reads for itself while servers register one after the other, and each registration ends a
-long poll. In the first seconds of a node, no time limit for applying a change is as short as this pause.
+long poll. Every time limit for applying a change in the first seconds of a node is longer than this pause.
 */
 export const startupPauseMs = 1000;
 
--- a/tests/quarantine/crash-ledger.test.ts
+++ b/tests/quarantine/crash-ledger.test.ts
@@ -35,7 +35,7 @@
 	const found: string[] = [];
 	for (let index = 0; index < minimumCrashes; index += 1) {
 		const at = from + 1000 * (index + 1);
-		const incarnationId = `life ${from} ${index}`;
+		const incarnationId = `incarnation ${from} ${index}`;
 		const companion = {[`other ${incarnationId}`]: at - 300};
 		ledger.addCrash(
 			crashOf(incarnationId, at, {fatal: at - 50, ...companion}),
@@ -51,13 +51,16 @@
 	const ledger = createCrashLedger();
 	t.assert.deepStrictEqual(quarantineFatal(ledger), ['fatal']);
 	t.assert.strictEqual(ledger.status('fatal', 4000).kind, 'quarantined');
-	t.assert.strictEqual(ledger.status('other life 0 0', 4000).kind, 'clear');
+	t.assert.strictEqual(
+		ledger.status('other incarnation 0 0', 4000).kind,
+		'clear',
+	);
 });
 
 test('a request is pending until the report window of its third crash is over', (t: TestContext) => {
 	const ledger = createCrashLedger();
 	for (const at of [1000, 2000, 3000]) {
-		ledger.addCrash(crashOf(`life ${at}`, at, {fatal: at - 50}), at);
+		ledger.addCrash(crashOf(`incarnation ${at}`, at, {fatal: at - 50}), at);
 	}
 
 	t.assert.strictEqual(ledger.status('fatal', 3010).kind, 'pending');
@@ -80,13 +83,13 @@
 	const ledger = createCrashLedger();
 	for (const at of [1000, 2000, 3000]) {
 		ledger.addCrash(
-			crashOf(`life ${at}`, at, {fatal: at - 50, unlucky: at - 60}),
+			crashOf(`incarnation ${at}`, at, {fatal: at - 50, unlucky: at - 60}),
 			at,
 		);
 	}
 
 	t.assert.deepStrictEqual(evaluated(ledger, 3000), []);
-	ledger.addCrash(crashOf('life 4', 4000, {fatal: 3900}), 4000);
+	ledger.addCrash(crashOf('incarnation 4', 4000, {fatal: 3900}), 4000);
 	t.assert.deepStrictEqual(evaluated(ledger, 4000), ['fatal']);
 	t.assert.strictEqual(ledger.status('unlucky', 5000).kind, 'clear');
 });
@@ -125,7 +128,7 @@
 	const ledger = createCrashLedger();
 	for (let index = 0; index < maximumCrashes + 50; index += 1) {
 		ledger.addCrash(
-			crashOf(`life ${index}`, index, {[`run ${index}`]: 0}),
+			crashOf(`incarnation ${index}`, index, {[`run ${index}`]: 0}),
 			index,
 		);
 	}
@@ -143,7 +146,7 @@
 			others[`other ${at} ${index}`] = at - 100;
 		}
 
-		const incarnationId = `life ${at}`;
+		const incarnationId = `incarnation ${at}`;
 		ledger.addCrash(crashOf(incarnationId, at, {fatal: at - 50}), at);
 		ledger.addCrash(crashOf(incarnationId, at, others), at);
 		ledger.addCrash(crashOf(`${incarnationId} again`, at + 100, others), at);
@@ -158,9 +161,9 @@
 
 test('the result does not depend on the order and the number of the reports', (t: TestContext) => {
 	const reports = [1000, 2000, 3000].flatMap((at) => [
-		crashOf(`life ${at}`, at, {fatal: at - 50}),
-		crashOf(`life ${at}`, at, {[`other ${at}`]: at - 200}),
-		crashOf(`life ${at}`, at, {fatal: at - 50}),
+		crashOf(`incarnation ${at}`, at, {fatal: at - 50}),
+		crashOf(`incarnation ${at}`, at, {[`other ${at}`]: at - 200}),
+		crashOf(`incarnation ${at}`, at, {fatal: at - 50}),
 	]);
 	fc.assert(
 		fc.property(
--- a/tests/quarantine/crash-watch.test.ts
+++ b/tests/quarantine/crash-watch.test.ts
@@ -84,11 +84,11 @@
 	watch.tick(100 + crashEvidenceWindowMs + 1);
 	watch.entryRemoved('engine 1');
 	for (let index = 0; index <= maximumWatchedIncarnations; index += 1) {
-		broke('a', 10_000, `life ${index}`);
+		broke('a', 10_000, `incarnation ${index}`);
 	}
 
-	watch.entryRemoved('life 0');
+	watch.entryRemoved('incarnation 0');
 	assert.equal(crashes.length, 0);
-	watch.entryRemoved('life 1');
+	watch.entryRemoved('incarnation 1');
 	assert.equal(crashes.length, 1);
 });
--- a/tests/quarantine/quarantine.test.ts
+++ b/tests/quarantine/quarantine.test.ts
@@ -82,7 +82,7 @@
 
 const crashThrice = ({crash, pass}: ReturnType<typeof setUp>) => {
 	for (const index of [0, 1, 2]) {
-		crash(index, `life ${index}`, 'fatal');
+		crash(index, `incarnation ${index}`, 'fatal');
 		pass(crashReportWindowMs);
 	}
 
@@ -120,7 +120,7 @@
 
 test('a complete answer on any node clears the request on all nodes', (t: TestContext) => {
 	const world = setUp(3);
-	world.crash(0, 'life 0', 'unlucky');
+	world.crash(0, 'incarnation 0', 'unlucky');
 	world.pass(crashReportWindowMs);
 	t.assert.strictEqual(world.kind(2, 'unlucky'), 'suspect');
 	world.nodes[1]!.served(() => 'unlucky');
--- a/tests/registry/registry-mirror.test.ts
+++ b/tests/registry/registry-mirror.test.ts
@@ -140,9 +140,9 @@
 		'registry',
 	);
 	const answer = mirror.snapshot(1000);
-	const [kept] = answer.items;
-	assert.strictEqual(kept?.value?.kind, 'server');
-	assert.equal(kept.value.server.coldMs, 2000);
+	const [relayed] = answer.items;
+	assert.strictEqual(relayed?.value?.kind, 'server');
+	assert.equal(relayed.value.server.coldMs, 2000);
 });
 
 test('nodes that exchange changes in any order end with the same mirror', () => {
