--- a/src/gateway/delivery/delivery-context.ts
+++ b/src/gateway/delivery/delivery-context.ts
@@ -109,7 +109,7 @@
 	/**
 	Whether a request may be sent to this incarnation of a server now.
 	*/
-	readonly canReceive: (server: string, incarnationId: string) => boolean;
+	readonly canSend: (server: string, incarnationId: string) => boolean;
 	/**
 	The request limits that backend servers announce.
 	*/
@@ -117,7 +117,7 @@
 	/**
 	Called when a request was queued. Ticks must follow, which refuse the request on time.
 	*/
-	readonly onWaiting: () => void;
+	readonly onQueued: () => void;
 	readonly onRecord: (record: DeliveryRecord) => void;
 };
 
--- a/src/gateway/delivery/send-run.ts
+++ b/src/gateway/delivery/send-run.ts
@@ -166,7 +166,7 @@
 		connectionShare,
 		fleet,
 		headers,
-		canReceive,
+		canSend: canReceive,
 		announcements,
 		without,
 	} = context;
--- a/src/gateway/delivery/server-probes.ts
+++ b/src/gateway/delivery/server-probes.ts
@@ -45,7 +45,7 @@
 	/**
 	The backoffs that servers requested from this node.
 	*/
-	readonly rests: Pick<ServerBackoffs, 'remainingMs'>;
+	readonly backoffs: Pick<ServerBackoffs, 'remainingMs'>;
 	/**
 	Processes the statements in the headers of servers' responses.
 	*/
@@ -70,7 +70,7 @@
 		clock,
 		logger,
 		backendLimits,
-		rests,
+		backoffs: rests,
 		statements,
 	} = options;
 
--- a/src/gateway/delivery/wait-for-capacity.ts
+++ b/src/gateway/delivery/wait-for-capacity.ts
@@ -24,7 +24,7 @@
 	const queued = createQueuedRequest(context, run, isSentNow);
 	run.queued = queued;
 	context.queue.add(queued);
-	context.onWaiting();
+	context.onQueued();
 };
 
 /**
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -98,7 +98,7 @@
 		},
 		onAlive: quarantine.crashRuledOut,
 		backendLimits,
-		rests: announcements.backoffs,
+		backoffs: announcements.backoffs,
 		statements,
 	});
 
--- a/src/gateway/request-handling.ts
+++ b/src/gateway/request-handling.ts
@@ -135,7 +135,7 @@
 			quarantine.status(() => fingerprintOfExchange(exchange), clock()),
 		statements: nodeState.statements,
 		announcements,
-		canReceive(server, incarnationId) {
+		canSend(server, incarnationId) {
 			const entry = fleet.server(server);
 			return (
 				entry !== undefined &&
@@ -144,7 +144,7 @@
 			);
 		},
 		backendLimits,
-		onWaiting() {
+		onQueued() {
 			if (deliveries.queuedCount() === 1) {
 				hooks.onFirstWaiting();
 			}
--- a/tests/gateway/delivery/delivery.test.ts
+++ b/tests/gateway/delivery/delivery.test.ts
@@ -114,9 +114,9 @@
 			onFault: () => undefined,
 		}),
 		announcements,
-		canReceive: () => true,
+		canSend: () => true,
 		backendLimits,
-		onWaiting: () => undefined,
+		onQueued: () => undefined,
 		onRecord(record) {
 			records.push(record);
 		},
