--- a/tests/platform/decode-item.test.ts
+++ b/tests/platform/decode-item.test.ts
@@ -19,7 +19,7 @@
 	sequence: 4,
 };
 
-test('a server entry becomes a server of the registry', () => {
+test('a server entry is decoded into a registry server', () => {
 	const decoded = decodeItem({
 		key: 'servers/i-1',
 		revision: 9,
@@ -44,7 +44,7 @@
 	});
 });
 
-test('an evacuation, a removal and a key of no concern', () => {
+test('evacuations and removals are decoded, and unrelated keys are skipped', () => {
 	assert.deepEqual(
 		decodeItem({key: 'op/evacuate/zone-a', revision: 1, value: encode({})})
 			?.value,
@@ -60,7 +60,7 @@
 	);
 });
 
-test('a value that lacks its address, or is no JSON, is an error and no entry', () => {
+test('a value without an address or with invalid JSON is rejected', () => {
 	const {address, ...rest} = entry;
 	assert.notEqual(address, '');
 	assert.throws(
@@ -99,7 +99,7 @@
 	return value.document.clients;
 };
 
-test('accounts keep digests of their keys only', () => {
+test('client accounts contain only digests of their API keys', () => {
 	const clients = decodeClients([
 		{
 			name: 'a',
@@ -133,22 +133,22 @@
 	assert.equal(decodeClients(undefined), undefined);
 });
 
-test('accounts that make no sense make the whole document unreadable', () => {
-	const wrong = [
+test('an invalid client account makes the whole document invalid', () => {
+	const invalidValues = [
 		{api_keys: ['k']},
 		{name: 'a', api_keys: 'k'},
 		{name: 'a', api_keys: [], unit: 'pages'},
 		{name: 'a', api_keys: [], rate_per_s: -1},
 		{name: 'a', api_keys: [], rate_per_s: 'many'},
 	];
-	for (const client of wrong) {
+	for (const client of invalidValues) {
 		assert.throws(() => decodeClients([client]), Error);
 	}
 });
 
-test('an entry with fields missing, of another type or of a state that is not known cannot be decoded', () => {
+test('a server entry with a missing field, a wrong type or an unknown state is rejected', () => {
 	const {address, ...withoutAddress} = entry;
-	const wrong = [
+	const invalidValues = [
 		withoutAddress,
 		{...entry, address: address.replace('8080', 'x')},
 		{...entry, slots: '64'},
@@ -160,7 +160,7 @@
 		'text',
 		null,
 	];
-	for (const value of wrong) {
+	for (const value of invalidValues) {
 		assert.throws(
 			() => decodeItem({key: 'servers/i-1', revision: 9, value: encode(value)}),
 			Error,
@@ -173,7 +173,7 @@
 	);
 });
 
-test('the start of a server is told with its entry', () => {
+test('a server entry carries the start time of its process', () => {
 	const decoded = decodeItem({
 		key: 'servers/i-1',
 		revision: 9,
--- a/tests/platform/read-settings.test.ts
+++ b/tests/platform/read-settings.test.ts
@@ -19,7 +19,7 @@
 some.new.field=x
 `;
 
-test('the file becomes the settings of a node, and unknown fields are ignored', () => {
+test('the settings file is parsed and unknown fields are ignored', () => {
 	const settings = parseSettings(text);
 	assert.ok(settings.isOk);
 	assert.equal(settings.value.peerAddress, '10.1.0.35:7660');
@@ -30,11 +30,11 @@
 	});
 });
 
-test('all faults are named at once', () => {
-	const broken = text
+test('all invalid fields are reported together', () => {
+	const invalidText = text
 		.replace('node_name=edge-1\n', '')
 		.replace('listen.front=10.1.0.35:8144', 'listen.front=nonsense');
-	const settings = parseSettings(broken);
+	const settings = parseSettings(invalidText);
 	assert.ok(settings.isErr);
 	assert.match(settings.error, /node_name is missing/v);
 	assert.match(settings.error, /listen\.front is not an IP number and port/v);
--- a/tests/platform/store-source.test.ts
+++ b/tests/platform/store-source.test.ts
@@ -14,7 +14,7 @@
 const encode = (value: unknown) =>
 	Buffer.from(JSON.stringify(value)).toString('base64');
 
-const soundEntry = encode({
+const validEntry = encode({
 	service: 'engine',
 	address: '10.0.0.1:8080',
 	zone: 'zone-a',
@@ -27,11 +27,11 @@
 	values: () => readonly string[],
 	lines: unknown[] = [],
 ) => {
-	const note = (...line: unknown[]) => {
+	const record = (...line: unknown[]) => {
 		lines.push(line);
 	};
 
-	const logger = {debug: note, info: note, warn: note, error: note};
+	const logger = {debug: record, info: record, warn: record, error: record};
 	const address = await freeAddress();
 	const store = createServer((_request, response) => {
 		const items = values().map((value, index) => ({
@@ -62,24 +62,24 @@
 	return [...mirror.servers().keys()];
 };
 
-test('whatever another writer left in an entry, the other entries hold', async (t: TestContext) => {
+test('an arbitrary value in one entry does not affect the other entries', async (t: TestContext) => {
 	let garbage = '';
-	const source = await startStore(t, () => [soundEntry, garbage, soundEntry]);
+	const source = await startStore(t, () => [validEntry, garbage, validEntry]);
 	const anything = fc.oneof(
 		fc.uint8Array().map((bytes) => Buffer.from(bytes).toString('base64')),
 		fc.jsonValue().map((json) => encode(json)),
 		fc.string(),
 	);
-	const known = new Set<string>();
+	const observed = new Set<string>();
 	for (const value of fc.sample(anything, {seed: 24, numRuns: 200})) {
 		garbage = value;
-		known.add((await serversOf(source)).join(' '));
+		observed.add((await serversOf(source)).join(' '));
 	}
 
-	t.assert.strictEqual([...known].join(', '), 'i-0 i-2');
+	t.assert.strictEqual([...observed].join(', '), 'i-0 i-2');
 });
 
-test('an entry that cannot be read is logged once, and nothing of it', async (t: TestContext) => {
+test('an undecodable entry is logged once, without its content', async (t: TestContext) => {
 	const lines: unknown[] = [];
 	const secret = Buffer.from('{"api_keys": ["secret-key" oops').toString(
 		'base64',
@@ -105,7 +105,7 @@
 		}
 
 		sendJson(response, 200, {
-			items: [{key: `servers/i-${next}`, revision: next, value: soundEntry}],
+			items: [{key: `servers/i-${next}`, revision: next, value: validEntry}],
 			truncated: next < pages.length,
 			events: [],
 			as_of: revision,
@@ -134,15 +134,15 @@
 ] as const;
 
 for (const {name, header, era} of eras) {
-	test(`the era of the store's answers is read from ${name}`, async (t: TestContext) => {
+	test(`the era header of the store is parsed: ${name}`, async (t: TestContext) => {
 		const page = {revision: 4, ...(header !== undefined && {era: header})};
 		const source = await startPagedStore(t, [page, page]);
-		const whole = await source.snapshot();
-		t.assert.strictEqual('era' in whole ? whole.era : undefined, era);
+		const answer = await source.snapshot();
+		t.assert.strictEqual('era' in answer ? answer.era : undefined, era);
 	});
 }
 
-test('the era of changes is read as well', async (t: TestContext) => {
+test('the era header is parsed for changes as well', async (t: TestContext) => {
 	const source = await startPagedStore(t, [{era: '3', revision: 4}]);
 	t.assert.deepStrictEqual(await source.changes(1, 0), {
 		kind: 'changes',
@@ -156,7 +156,7 @@
 	['era', {era: '2', revision: 9}],
 	['revision', {era: '1', revision: 3}],
 ] as const) {
-	test(`pages from before and after a return from a copy are not mixed: another ${name}`, async (t: TestContext) => {
+	test(`pages from before and after a restore of the store are not combined: ${name} changed`, async (t: TestContext) => {
 		const source = await startPagedStore(t, [{era: '1', revision: 4}, second]);
 		const answer = await source.snapshot();
 		t.assert.strictEqual(answer.kind, 'unavailable');
