--- a/src/settings/describe-settings.ts
+++ b/src/settings/describe-settings.ts
@@ -1,15 +1,15 @@
 import type {Setting} from './setting.ts';
 
 /**
-A list of settings for the help of a command.
+Formats settings as a list for the help text of a command.
 */
 export const describeSettings = (
 	settings: Readonly<Record<string, Setting<unknown>>>,
 ): string =>
 	Object.values(settings)
 		.map(({flag, variable, description, allowed, fallback}) => {
-			const preset =
+			const defaultText =
 				fallback === undefined ? 'required' : `default "${fallback}"`;
-			return `- \`${flag}\`, \`${variable}\`: ${description} (${allowed}; ${preset})`;
+			return `- \`${flag}\`, \`${variable}\`: ${description} (${allowed}; ${defaultText})`;
 		})
 		.join('\n\n');
--- a/src/settings/gateway-settings.ts
+++ b/src/settings/gateway-settings.ts
@@ -14,7 +14,7 @@
 	numberSetting,
 } from './setting-kinds.ts';
 
-const pairForm = /^[^\s,=]+=[^\s,=]+$/v;
+const pairPattern = /^[^\s,=]+=[^\s,=]+$/v;
 
 /**
 The settings of `quillford gateway`; each is a flag and an environment variable.
@@ -29,25 +29,25 @@
 		'pairs such as abj-wuse=abuja, separated by commas',
 		(text) => {
 			const pairs = text.split(',');
-			return pairs.every((pair) => pairForm.test(pair))
+			return pairs.every((pair) => pairPattern.test(pair))
 				? Result.ok(Object.fromEntries(pairs.map((pair) => pair.split('=', 2))))
-				: Result.err('is not a list of pairs');
+				: Result.err('is not a list of NAME=REGION pairs');
 		},
 	),
 	registryAddress: addressSetting({
 		flag: '--registry-address',
-		description:
-			'Where the registry of routes and backend servers answers (HTTP)',
+		description: 'HTTP address of the registry of routes and backend servers',
 	}),
 	seedPeers: addressListSetting({
 		flag: '--seed-peers',
-		description: 'Peer addresses of other nodes to ask at start',
+		description: 'Peer addresses of other nodes to contact at start',
 		fallback: '',
 	}),
 	drainTimeoutMs: numberSetting(
 		{
 			flag: '--drain-timeout-ms',
-			description: 'How long a planned stop waits for requests under way',
+			description:
+				'Time that a graceful shutdown waits for requests in flight, in milliseconds',
 			fallback: '10000',
 		},
 		0,
@@ -57,7 +57,7 @@
 		{
 			flag: '--without',
 			description:
-				'Mechanisms to switch off, to see what each is worth; for diagnosis only',
+				'Mechanisms to disable, to measure the effect of each; for diagnosis only',
 			fallback: '',
 		},
 		`names separated by commas, or empty, of ${mechanisms.join(', ')}`,
@@ -66,7 +66,7 @@
 	logLevel: choiceSetting(
 		{
 			flag: '--log-level',
-			description: 'How much is logged',
+			description: 'Lowest level that is logged',
 			fallback: 'info',
 		},
 		logLevelNames,
--- a/src/settings/node-settings.ts
+++ b/src/settings/node-settings.ts
@@ -1,11 +1,11 @@
 import {addressSetting, textSetting} from './setting-kinds.ts';
 
-const nameForm = /^[\da-z][\d\-.a-z]{0,62}$/v;
+const namePattern = /^[\da-z][\d\-.a-z]{0,62}$/v;
 const nameAllowed =
 	'lower-case letters, digits, "." and "-", at most 63 characters';
 
 /**
-What every node needs to know, whatever it serves.
+Settings that all kinds of nodes have in common.
 */
 export const nodeSettings = {
 	nodeId: textSetting(
@@ -13,20 +13,20 @@
 			flag: '--node-id',
 			description: 'Name of this node, unique among all nodes',
 		},
-		nameForm,
+		namePattern,
 		nameAllowed,
 	),
 	availabilityZone: textSetting(
 		{flag: '--availability-zone', description: 'Availability zone of this VM'},
-		nameForm,
+		namePattern,
 		nameAllowed,
 	),
 	callerAddress: addressSetting({
 		flag: '--caller-address',
-		description: 'Where callers connect',
+		description: 'Address that callers connect to',
 	}),
 	peerAddress: addressSetting({
 		flag: '--peer-address',
-		description: 'Where other nodes connect (UDP and TCP)',
+		description: 'Address that other nodes connect to (UDP and TCP)',
 	}),
 } as const;
--- a/src/settings/read-settings.ts
+++ b/src/settings/read-settings.ts
@@ -2,13 +2,13 @@
 import type {Setting, SettingValue} from './setting.ts';
 
 /**
-One fault of a setting.
+An invalid or missing setting.
 */
 export type SettingFault = {
 	readonly flag: string;
 	readonly variable: string;
 	/**
-	The value given; undefined where none was, masked where it is secret.
+	The value given, masked if the setting is secret; undefined if there is none.
 	*/
 	readonly value: string | undefined;
 	readonly fault: string;
@@ -21,9 +21,9 @@
 };
 
 /**
- Reads a group of settings: the flag goes before the variable, the variable before
- the fallback. All faults are reported together.
- */
+Reads a group of settings. A flag takes precedence over an environment variable, and a variable
+over the default. All faults are reported together.
+*/
 export const readSettings = <Group extends Settings>(
 	group: Group,
 	flags: Readonly<Record<string, string | undefined>>,
@@ -51,7 +51,7 @@
 };
 
 /**
-One line that tells a fault and how to mend it.
+Formats a fault as one line that names the setting and its allowed values.
 */
 export const formatSettingFault = ({
 	flag,
@@ -60,8 +60,8 @@
 	fault,
 	allowed,
 }: SettingFault): string => {
-	const given = value === undefined ? '' : ` "${value}"`;
-	return `${flag} (or ${variable})${given} ${fault}; allowed: ${allowed}`;
+	const givenValue = value === undefined ? '' : ` "${value}"`;
+	return `${flag} (or ${variable})${givenValue} ${fault}; allowed: ${allowed}`;
 };
 
 const describeFault = (
--- a/src/settings/serve-settings.ts
+++ b/src/settings/serve-settings.ts
@@ -11,7 +11,7 @@
 	textSetting,
 } from './setting-kinds.ts';
 
-const keyForm = /^\S{16,}$/v;
+const keyPattern = /^\S{16,}$/v;
 const keyAllowed = 'at least 16 characters without white space';
 const mebibyte = 1_048_576;
 
@@ -22,7 +22,7 @@
 	...nodeSettings,
 	administrationAddress: addressSetting({
 		flag: '--administration-address',
-		description: 'Where operators connect',
+		description: 'Address that operators connect to',
 	}),
 	administrationKey: textSetting(
 		{
@@ -30,35 +30,38 @@
 			description: 'Bearer key of the administration API',
 			isSecret: true,
 		},
-		keyForm,
+		keyPattern,
 		keyAllowed,
 	),
 	peerKey: textSetting(
 		{
 			flag: '--peer-key',
-			description: 'Key shared by all nodes; seals what they send each other',
+			description:
+				'Key shared by all nodes; authenticates the messages between them',
 			isSecret: true,
 		},
-		keyForm,
+		keyPattern,
 		keyAllowed,
 	),
 	platformAddress: addressSetting({
 		flag: '--platform-address',
-		description: 'Where the platform services answer',
+		description: 'Address of the platform services',
 	}),
 	seedPeers: addressListSetting({
 		flag: '--seed-peers',
-		description: 'Peer addresses to ask at start, besides the VM list',
+		description:
+			'Peer addresses to contact at start, in addition to the VM list',
 		fallback: '',
 	}),
 	addressTranslations: addressPairsSetting({
 		flag: '--address-translations',
-		description: 'Addresses as published and as reached from this VM',
+		description:
+			'Published addresses and the addresses that reach them from this VM',
 		fallback: '',
 	}),
 	statsdAddress: optionalAddressSetting({
 		flag: '--statsd-address',
-		description: 'Where metrics are sent (StatsD over UDP)',
+		description: 'Address that receives the metrics (StatsD over UDP)',
 		fallback: '',
 	}),
 	logLevel: choiceSetting(
@@ -72,7 +75,7 @@
 	maximumBodyBytes: numberSetting(
 		{
 			flag: '--maximum-body-bytes',
-			description: 'Longest request body',
+			description: 'Maximum length of a request body, in bytes',
 			fallback: String(4 * mebibyte),
 		},
 		1024,
@@ -81,7 +84,7 @@
 	maximumWaiting: numberSetting(
 		{
 			flag: '--maximum-waiting',
-			description: 'Requests that may wait for a free slot',
+			description: 'Maximum number of requests that wait for a free slot',
 			fallback: '64',
 		},
 		0,
@@ -90,7 +93,7 @@
 	maximumWaitMs: numberSetting(
 		{
 			flag: '--maximum-wait-ms',
-			description: 'Longest wait for a free slot, in milliseconds',
+			description: 'Maximum wait for a free slot, in milliseconds',
 			fallback: '1000',
 		},
 		0,
@@ -100,7 +103,7 @@
 		{
 			flag: '--join-timeout-ms',
 			description:
-				'How long a starting node waits for its peers before it serves, in milliseconds',
+				'Time that a starting node waits for its peers before it serves, in milliseconds',
 			fallback: '1500',
 		},
 		0,
@@ -110,7 +113,7 @@
 		{
 			flag: '--drain-timeout-ms',
 			description:
-				'How long a planned stop waits for requests in flight, in milliseconds',
+				'Time that a graceful shutdown waits for requests in flight, in milliseconds',
 			fallback: '600000',
 		},
 		0,
--- a/src/settings/setting-kinds.ts
+++ b/src/settings/setting-kinds.ts
@@ -5,7 +5,7 @@
 type Options = Parameters<typeof createSetting>[0];
 
 /**
-A text that matches a pattern.
+Creates a setting whose value must match a pattern.
 */
 export const textSetting = (
 	options: Options,
@@ -13,11 +13,11 @@
 	allowed: string,
 ): Setting<string> =>
 	createSetting(options, allowed, (text) =>
-		pattern.test(text) ? Result.ok(text) : Result.err('has the wrong form'),
+		pattern.test(text) ? Result.ok(text) : Result.err('has an invalid format'),
 	);
 
 /**
-A whole number within bounds.
+Creates a setting for an integer within bounds, both inclusive.
 */
 export const numberSetting = (
 	options: Options,
@@ -34,13 +34,13 @@
 			}
 
 			return value < minimum || value > maximum
-				? Result.err('is out of bounds')
+				? Result.err('is out of range')
 				: Result.ok(value);
 		},
 	);
 
 /**
-An IP number and port.
+Creates a setting for an IP address and port.
 */
 export const addressSetting = (options: Options): Setting<Address> =>
 	createSetting(
@@ -53,7 +53,7 @@
 	);
 
 /**
-An IP number and port, or nothing.
+Creates a setting for an IP address and port; an empty value means none.
 */
 export const optionalAddressSetting = (
 	options: Options,
@@ -68,7 +68,7 @@
 	);
 
 /**
-A list of IP numbers and ports.
+Creates a setting for a comma-separated list of IP addresses and ports.
 */
 export const addressListSetting = (
 	options: Options,
@@ -80,12 +80,12 @@
 			const addresses = splitList(text);
 			return addresses.every((address) => isAddress(address))
 				? Result.ok(addresses)
-				: Result.err('holds something that is not an IP number and port');
+				: Result.err('contains an entry that is not an IP number and port');
 		},
 	);
 
 /**
-Pairs of addresses.
+Creates a setting for a comma-separated list of address pairs.
 */
 export const addressPairsSetting = (
 	options: Options,
@@ -101,12 +101,12 @@
 			);
 			return isValid
 				? Result.ok(new Map(pairs.map(([from, to]) => [from!, to!])))
-				: Result.err('holds something that is not a pair of addresses');
+				: Result.err('contains an entry that is not a pair of addresses');
 		},
 	);
 
 /**
-One of a list of words.
+Creates a setting whose value is one of the given choices.
 */
 export const choiceSetting = <Choice extends string>(
 	options: Options,
--- a/src/settings/setting.ts
+++ b/src/settings/setting.ts
@@ -1,22 +1,22 @@
 import {type Result} from 'true-myth';
 
 /**
-One setting: how it is named, read and explained.
+A setting: its names, its parser and its help text.
 */
 export type Setting<Value> = {
 	readonly flag: string;
 	readonly variable: string;
 	readonly description: string;
 	/**
-	What a valid value looks like, for messages and help.
+	Description of valid values, for error messages and help texts.
 	*/
 	readonly allowed: string;
 	/**
-	The text used where neither flag nor variable is given; undefined makes the setting required.
+	Default, in text form, if neither flag nor variable is given; undefined makes the setting required.
 	*/
 	readonly fallback: string | undefined;
 	/**
-	Whether the value is kept out of messages.
+	Whether the value is masked in messages.
 	*/
 	readonly isSecret: boolean;
 	read(text: string): Result<Value, string>;
@@ -38,13 +38,13 @@
 const variablePrefix = 'QUILLFORD_';
 
 /**
-The environment variable that goes with a flag.
+Returns the name of the environment variable that corresponds to a flag.
 */
-export const variableOf = (flag: string): string =>
+export const environmentVariableOf = (flag: string): string =>
 	variablePrefix + flag.replace(/^--/v, '').replaceAll('-', '_').toUpperCase();
 
 /**
-Builds a setting from its options, what is allowed and how it is read.
+Creates a setting from its options, the description of valid values and its parser.
 */
 export const createSetting = <Value>(
 	options: SettingOptions,
@@ -52,7 +52,7 @@
 	read: (text: string) => Result<Value, string>,
 ): Setting<Value> => ({
 	flag: options.flag,
-	variable: variableOf(options.flag),
+	variable: environmentVariableOf(options.flag),
 	description: options.description,
 	allowed,
 	fallback: options.fallback,
--- a/tests/settings/read-settings.test.ts
+++ b/tests/settings/read-settings.test.ts
@@ -17,7 +17,7 @@
 	QUILLFORD_PLATFORM_ADDRESS: '127.0.0.1:4',
 };
 
-test('settings come from variables, and flags go before them', () => {
+test('settings are read from variables, and flags take precedence', () => {
 	const settings = readSettings(
 		serveSettings,
 		{nodeId: 'by-flag'},
@@ -29,7 +29,7 @@
 	assert.deepEqual(settings.seedPeers, []);
 });
 
-test('lists and pairs of addresses are read', () => {
+test('lists and pairs of addresses are parsed', () => {
 	const settings = readSettings(
 		serveSettings,
 		{
@@ -42,7 +42,7 @@
 	assert.equal(settings.addressTranslations.get('10.0.0.1:1'), '127.0.0.1:9');
 });
 
-test('all faults are reported together, with flag, variable, value and what is allowed', () => {
+test('all faults are reported together, with flag, variable, value and allowed values', () => {
 	const faults = readSettings(
 		serveSettings,
 		{logLevel: 'loud', maximumWaiting: '-1'},
@@ -58,5 +58,8 @@
 		/--node-id \(or QUILLFORD_NODE_ID\) is not set; allowed:/v,
 	);
 	assert.match(lines[2]!, /"loud" is not one of the choices/v);
-	assert.ok(!lines[1]!.includes('short'), 'a secret is not shown');
+	assert.ok(
+		!lines[1]!.includes('short'),
+		'a secret value appears in a message',
+	);
 });
