--- a/src/configuration/configuration-fault.ts
+++ b/src/configuration/configuration-fault.ts
@@ -1,5 +1,5 @@
 /**
-One fault of a document: where, what is wrong, and how to mend it.
+A fault in a configuration document: its location, its description and how to correct it.
 */
 export type ConfigurationFault = {
 	/**
--- a/src/configuration/configuration-schema.ts
+++ b/src/configuration/configuration-schema.ts
@@ -2,7 +2,7 @@
 import {isAddress} from '../shared/index.ts';
 
 /**
-The largest document the configuration service holds, in bytes.
+Maximum size of a document that the configuration service stores, in bytes.
 */
 export const maximumDocumentBytes = 1_048_576;
 
@@ -149,7 +149,7 @@
 });
 
 /**
-The whole configuration document, as operators write it.
+Schema of the configuration document that operators write.
 */
 export const configurationSchema = z.strictObject({
 	version: z.number().int().positive(),
--- a/src/configuration/configuration-store.ts
+++ b/src/configuration/configuration-store.ts
@@ -5,12 +5,12 @@
 } from './parse-configuration.ts';
 
 /**
-Where a document came from.
+Origin of a configuration document.
 */
 export type ConfigurationSource = 'platform' | 'peer' | 'file';
 
 /**
-What a node tells others about the configuration it has in force.
+Identifies the configuration in force on a node. Nodes exchange stamps.
 */
 export type ConfigurationStamp = {
 	readonly version: number;
@@ -18,9 +18,9 @@
 };
 
 /**
-One document that was not accepted.
+A document that the store did not accept.
 */
-export type Refusal = {
+export type RejectedDocument = {
 	readonly at: number;
 	readonly source: ConfigurationSource;
 	readonly reason: 'invalid' | 'older' | 'same';
@@ -28,45 +28,45 @@
 };
 
 /**
-What became of an offered document.
+Result of offering a document to the store.
 */
 export type Offer =
 	| {readonly kind: 'accepted'; readonly parsed: ParsedConfiguration}
-	| {readonly kind: 'refused'; readonly refusal: Refusal};
+	| {readonly kind: 'refused'; readonly refusal: RejectedDocument};
 
 /**
-Holds the configuration in force; its version only rises.
+Holds the configuration in force. Its version never decreases.
 */
 export type ConfigurationStore = {
 	current(): ParsedConfiguration | undefined;
 	stamp(): ConfigurationStamp;
 	offer(text: string, source: ConfigurationSource, now: number): Offer;
 	/**
-	Whether a peer's stamp is ahead of the document in force.
+	Whether a peer's stamp is newer than that of the document in force.
 	*/
 	isAhead(stamp: ConfigurationStamp): boolean;
 	/**
-	The latest refusals, oldest first.
+	The most recent rejected documents, oldest first.
 	*/
-	refusals(): readonly Refusal[];
+	refusals(): readonly RejectedDocument[];
 };
 
-const maximumRefusals = 50;
+const maximumRejections = 50;
 
-// Enough to tell documents apart; stamps travel with every heartbeat.
+// In characters: short because every heartbeat carries a stamp, and long enough to distinguish documents.
 const stampDigestLength = 12;
 
 /**
-The stamp of a node that has no configuration yet.
+The stamp of a node without a configuration.
 */
 export const noConfiguration: ConfigurationStamp = {version: 0, digest: ''};
 
 /**
- Orders two stamps.
- 
- Versions come first. Two documents with one version are a fault of the publisher;
- the larger digest wins, so that every node settles on the same one.
- */
+Compares two stamps, first by version and then by digest.
+
+Two documents with the same version are an error of the publisher. The larger digest wins, so that
+all nodes converge on the same document.
+*/
 export const compareStamps = (
 	left: ConfigurationStamp,
 	right: ConfigurationStamp,
@@ -83,21 +83,21 @@
 };
 
 /**
-Builds a store without a configuration.
+Creates a store without a configuration.
 */
 export const createConfigurationStore = (): ConfigurationStore => {
 	let current: ParsedConfiguration | undefined;
-	let refusals: readonly Refusal[] = [];
+	let rejections: readonly RejectedDocument[] = [];
 
 	const stamp = () => (current ? stampOf(current) : noConfiguration);
 
-	const refuse = (refusal: Refusal): Offer => {
-		// A document already in force comes by many paths; only real faults are worth keeping.
-		if (refusal.reason !== 'same') {
-			refusals = [...refusals, refusal].slice(-maximumRefusals);
+	const reject = (rejection: RejectedDocument): Offer => {
+		// The platform and several peers offer the document in force again and again; only faults are recorded.
+		if (rejection.reason !== 'same') {
+			rejections = [...rejections, rejection].slice(-maximumRejections);
 		}
 
-		return {kind: 'refused', refusal};
+		return {kind: 'refused', refusal: rejection};
 	};
 
 	return {
@@ -105,12 +105,12 @@
 		stamp,
 		offer(text, source, now) {
 			if (current?.text === text) {
-				return refuse({at: now, source, reason: 'same', faults: []});
+				return reject({at: now, source, reason: 'same', faults: []});
 			}
 
 			const parsed = parseConfiguration(text);
 			if (parsed.isErr) {
-				return refuse({
+				return reject({
 					at: now,
 					source,
 					reason: 'invalid',
@@ -119,14 +119,14 @@
 			}
 
 			if (compareStamps(stampOf(parsed.value), stamp()) <= 0) {
-				return refuse({at: now, source, reason: 'older', faults: []});
+				return reject({at: now, source, reason: 'older', faults: []});
 			}
 
 			current = parsed.value;
 			return {kind: 'accepted', parsed: parsed.value};
 		},
 		isAhead: (other) => compareStamps(other, stamp()) > 0,
-		refusals: () => refusals,
+		refusals: () => rejections,
 	};
 };
 
--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -14,7 +14,7 @@
 export type Configuration = DeepReadonly<z.output<typeof configurationSchema>>;
 
 /**
-A region with its availability zones.
+A region and its availability zones.
 */
 export type Region = Configuration['regions'][number];
 
@@ -24,7 +24,7 @@
 export type Service = Configuration['services'][number];
 
 /**
-A backend server as the configuration describes it.
+A backend server in the configuration.
 */
 export type BackendServer = Configuration['backendServers'][number];
 
@@ -39,7 +39,7 @@
 export type Policy = Configuration['policies'][number];
 
 /**
-How a policy chooses among candidates.
+The strategy by which a policy chooses among candidates.
 */
 export type Strategy = Policy['strategy'];
 
@@ -54,7 +54,7 @@
 export type Objective = Configuration['objectives'][number];
 
 /**
-The region that an availability zone lies in.
+Returns the region of an availability zone.
 */
 export const regionOfZone = (
 	configuration: Configuration,
--- a/src/configuration/cross-check.ts
+++ b/src/configuration/cross-check.ts
@@ -2,7 +2,8 @@
 import type {ConfigurationFault} from './configuration-fault.ts';
 
 /**
-Checks what a schema cannot: that names are unique and that references have a target.
+Checks the constraints that the schema cannot express: names are unique, references have a target,
+slices are not empty and first-token objectives have a threshold.
 */
 export const crossCheck = (
 	configuration: Configuration,
@@ -14,45 +15,50 @@
 	const serviceNames = new Set(configuration.services.map(({name}) => name));
 	const modelNames = new Set(configuration.models.map(({name}) => name));
 	return [
-		...unique(
+		...checkUnique(
 			'regions',
 			configuration.regions.map(({name}) => name),
 		),
-		...unique('regions.availabilityZones', zones),
-		...unique(
+		...checkUnique('regions.availabilityZones', zones),
+		...checkUnique(
 			'services',
 			configuration.services.map(({name}) => name),
 		),
-		...unique(
+		...checkUnique(
 			'backendServers',
 			configuration.backendServers.map(({id}) => id),
 		),
-		...unique(
+		...checkUnique(
 			'clients',
 			configuration.clients.map(({name}) => name),
 		),
-		...unique(
+		...checkUnique(
 			'clients.keySha256',
 			configuration.clients.map(({keySha256}) => keySha256),
 		),
-		...unique(
+		...checkUnique(
 			'policies',
 			configuration.policies.map(({name}) => name),
 		),
 		...configuration.services.flatMap((service, index) =>
 			service.kind === 'model'
-				? known(`services.${index}.models`, 'model', service.models, modelNames)
+				? checkReferences(
+						`services.${index}.models`,
+						'model',
+						service.models,
+						modelNames,
+					)
 				: [],
 		),
 		...configuration.backendServers.flatMap(
 			({service, availabilityZone}, index) => [
-				...known(
+				...checkReferences(
 					`backendServers.${index}.service`,
 					'service',
 					[service],
 					serviceNames,
 				),
-				...known(
+				...checkReferences(
 					`backendServers.${index}.availabilityZone`,
 					'availability zone',
 					[availabilityZone],
@@ -61,7 +67,7 @@
 			],
 		),
 		...configuration.clients.flatMap(({residency}, index) =>
-			known(
+			checkReferences(
 				`clients.${index}.residency`,
 				'region',
 				residency ?? [],
@@ -70,41 +76,41 @@
 		),
 		...configuration.policies.flatMap(({slice}, index) =>
 			slice && slice.fromPercent >= slice.untilPercent
-				? [emptySlice(index)]
+				? [emptySliceFault(index)]
 				: [],
 		),
 		...configuration.objectives.flatMap(({kind, thresholdMs}, index) =>
 			kind === 'first-token' && thresholdMs === undefined
-				? [missingThreshold(index)]
+				? [missingThresholdFault(index)]
 				: [],
 		),
 	];
 };
 
-const unique = (
+const checkUnique = (
 	path: string,
 	names: readonly string[],
 ): readonly ConfigurationFault[] => {
 	const seen = new Set<string>();
-	const repeated = new Set<string>();
+	const duplicates = new Set<string>();
 	for (const name of names) {
 		if (seen.has(name)) {
-			repeated.add(name);
+			duplicates.add(name);
 		}
 
 		seen.add(name);
 	}
 
-	return [...repeated].map((name) => ({
+	return [...duplicates].map((name) => ({
 		path,
-		fault: `"${name}" stands more than once`,
-		remedy: 'give each entry a name of its own',
+		fault: `"${name}" appears more than once`,
+		remedy: 'give each entry a unique name',
 	}));
 };
 
-const known = (
+const checkReferences = (
 	path: string,
-	what: string,
+	kind: string,
 	names: readonly string[],
 	targets: ReadonlySet<string>,
 ): readonly ConfigurationFault[] =>
@@ -112,21 +118,21 @@
 		.filter((name) => !targets.has(name))
 		.map((name) => ({
 			path,
-			fault: `there is no ${what} "${name}"`,
+			fault: `there is no ${kind} "${name}"`,
 			remedy:
 				targets.size > 0
 					? `use one of: ${[...targets].slice(0, 10).join(', ')}`
 					: 'define it first',
 		}));
 
-const emptySlice = (index: number): ConfigurationFault => ({
+const emptySliceFault = (index: number): ConfigurationFault => ({
 	path: `policies.${index}.slice`,
-	fault: 'selects nothing: fromPercent is not below untilPercent',
+	fault: 'is empty: fromPercent is not below untilPercent',
 	remedy: 'make fromPercent smaller than untilPercent',
 });
 
-const missingThreshold = (index: number): ConfigurationFault => ({
+const missingThresholdFault = (index: number): ConfigurationFault => ({
 	path: `objectives.${index}.thresholdMs`,
 	fault: 'is missing',
-	remedy: 'state the first-token threshold in milliseconds',
+	remedy: 'set the first-token threshold in milliseconds',
 });
--- a/src/configuration/parse-configuration.ts
+++ b/src/configuration/parse-configuration.ts
@@ -11,39 +11,39 @@
 import type {Configuration} from './configuration.ts';
 
 /**
-A document that passed every check.
+A document that has passed all checks.
 */
 export type ParsedConfiguration = {
 	readonly configuration: Configuration;
 	/**
-	The text as published; peers pass it on unchanged.
+	The text as published. Peers forward it unchanged.
 	*/
 	readonly text: string;
 	/**
-	SHA-256 of the text; settles which of two documents with one version is in force.
+	SHA-256 digest of the text. It decides between two documents with the same version.
 	*/
 	readonly digest: string;
 };
 
 /**
-Reads and checks a whole document; all faults are reported together.
+Parses and validates a document. Schema faults are reported together, and so are faults across sections.
 */
 export const parseConfiguration = (
 	text: string,
 ): Result<ParsedConfiguration, readonly ConfigurationFault[]> => {
 	const bytes = Buffer.byteLength(text);
 	if (bytes > maximumDocumentBytes) {
-		return Result.err([tooLarge(bytes)]);
+		return Result.err([tooLargeFault(bytes)]);
 	}
 
-	const document = readDocument(text);
+	const document = parseDocument(text);
 	if (document.isErr) {
 		return Result.err([document.error]);
 	}
 
 	const checked = configurationSchema.safeParse(document.value);
 	if (!checked.success) {
-		return Result.err(checked.error.issues.map((issue) => schemaFault(issue)));
+		return Result.err(checked.error.issues.map((issue) => toFault(issue)));
 	}
 
 	const faults = crossCheck(checked.data);
@@ -52,28 +52,28 @@
 		: Result.ok({configuration: checked.data, text, digest: sha256(text)});
 };
 
-const tooLarge = (bytes: number): ConfigurationFault => ({
+const tooLargeFault = (bytes: number): ConfigurationFault => ({
 	path: '(document)',
 	fault: `is ${bytes} bytes long`,
 	remedy: `shorten it to at most ${maximumDocumentBytes} bytes`,
 });
 
-const readDocument = (text: string): Result<unknown, ConfigurationFault> => {
+const parseDocument = (text: string): Result<unknown, ConfigurationFault> => {
 	try {
-		// JSON is read by its own parser, which is far faster on large documents; YAML covers the rest.
+		// JSON.parse is far faster than the YAML parser on large documents.
 		return Result.ok(
 			text.trimStart().startsWith('{') ? JSON.parse(text) : parseYaml(text),
 		);
 	} catch (error) {
 		return Result.err({
 			path: '(document)',
-			fault: `cannot be read: ${(error as Error).message}`,
+			fault: `cannot be parsed: ${(error as Error).message}`,
 			remedy: 'write valid YAML or JSON',
 		});
 	}
 };
 
-const schemaFault = (issue: {
+const toFault = (issue: {
 	readonly path: readonly PropertyKey[];
 	readonly message: string;
 	readonly code?: string;
@@ -98,7 +98,7 @@
 		}
 
 		default: {
-			return 'give a value within the stated bounds; see docs/CONFIGURATION.md';
+			return 'give a value within the documented bounds; see docs/CONFIGURATION.md';
 		}
 	}
 };
--- a/tests/configuration/configuration-store.test.ts
+++ b/tests/configuration/configuration-store.test.ts
@@ -14,7 +14,7 @@
 		() => `version: ${version} #${comment}`,
 	);
 
-test('a version comes into force and an older one does not replace it', () => {
+test('an older version does not replace the version in force', () => {
 	const store = createConfigurationStore();
 	assert.equal(store.offer(textOf(2), 'platform', 0).kind, 'accepted');
 	assert.equal(store.offer(textOf(1), 'peer', 1).kind, 'refused');
@@ -22,7 +22,7 @@
 	assert.equal(store.refusals()[0]?.reason, 'older');
 });
 
-test('an invalid version between two valid ones is refused and the one in force stays', () => {
+test('an invalid document is rejected and the version in force stays', () => {
 	const store = createConfigurationStore();
 	store.offer(textOf(1), 'platform', 0);
 	assert.equal(store.offer('{"version": 2}', 'platform', 1).kind, 'refused');
@@ -30,14 +30,14 @@
 	assert.equal(store.offer(textOf(3), 'platform', 2).kind, 'accepted');
 });
 
-test('the same document again is no refusal worth keeping', () => {
+test('a repeated offer of the document in force is not recorded as a rejection', () => {
 	const store = createConfigurationStore();
 	store.offer(textOf(1), 'platform', 0);
 	store.offer(textOf(1), 'peer', 1);
 	assert.equal(store.refusals().length, 0);
 });
 
-test('in whatever order documents arrive, versions only rise and all nodes end with the same one', () => {
+test('in any order of arrival, versions never decrease and all nodes converge on the same document', () => {
 	const documents = [1, 2, 3, 4].flatMap((version) => [
 		textOf(version, 'a'),
 		textOf(version, 'b'),
--- a/tests/configuration/parse-configuration.test.ts
+++ b/tests/configuration/parse-configuration.test.ts
@@ -10,12 +10,12 @@
 const faultsOf = (text: string) =>
 	parseConfiguration(text).match({Ok: () => [], Err: (faults) => faults});
 
-test('both examples are valid', () => {
+test('both example configurations are valid', () => {
 	assert.equal(faultsOf(exampleText('ajoke')).length, 0);
 	assert.equal(faultsOf(exampleText('lindner')).length, 0);
 });
 
-test('all faults of a document are reported together, with path and remedy', () => {
+test('all unresolved references are reported together, with path and remedy', () => {
 	const text = exampleText('ajoke')
 		.replace('service: quill-scribes', 'service: nobody')
 		.replace('residency: [abuja]', 'residency: [atlantis]');
@@ -39,14 +39,14 @@
 	);
 });
 
-test('names that stand twice are faults', () => {
+test('duplicate names are faults', () => {
 	const faults = faultsOf(
 		exampleText('ajoke').replace('name: petitioners', 'name: organisers'),
 	);
 	assert.match(faults[0]!.fault, /organisers.*more than once/v);
 });
 
-test('a slice that selects nothing and an objective without threshold are faults', () => {
+test('an empty slice and an objective without a threshold are faults', () => {
 	const text = exampleText('ajoke')
 		.replace(
 			'fromPercent: 0, untilPercent: 50',
@@ -59,7 +59,7 @@
 	);
 });
 
-test('a document at the limit of the service is taken, one byte more is refused', () => {
+test('a document of the maximum size is accepted, and one byte more is rejected', () => {
 	const text = exampleText('ajoke');
 	const atLimit =
 		text + ' '.repeat(maximumDocumentBytes - Buffer.byteLength(text));
--- a/tests/configuration/schema-file.test.ts
+++ b/tests/configuration/schema-file.test.ts
@@ -4,7 +4,7 @@
 import {z} from 'zod';
 import {configurationSchema} from '../../src/configuration/index.ts';
 
-test('the committed JSON Schema is the one of the code; write it anew with "npm run schema"', () => {
+test('the committed JSON Schema matches the code; regenerate it with "npm run schema"', () => {
 	const committed = readFileSync('docs/configuration.schema.json', 'utf8');
 	const schema = z.toJSONSchema(configurationSchema, {
 		io: 'input',
