--- a/src/command-line/administration-call.ts
+++ b/src/command-line/administration-call.ts
@@ -2,17 +2,17 @@
 import {Result} from 'true-myth';
 
 /**
-Where the administration API of a node is, and its key.
+Address of the administration API of a node, and the key that authorizes the call.
 */
 export type AdministrationTarget = {
 	readonly address: string;
 	readonly key: string;
 };
 
-const timeoutMs = 10_000;
+const callTimeoutMs = 10_000;
 
 /**
-Calls the administration API; the fault is a text for the operator.
+Calls the administration API. A failed call returns an error message for the operator.
 */
 export const callAdministration = async <Body>(
 	target: AdministrationTarget,
@@ -23,7 +23,7 @@
 		const answer = await request(`http://${target.address}${path}`, {
 			method,
 			headers: {authorization: `Bearer ${target.key}`},
-			signal: AbortSignal.timeout(timeoutMs),
+			signal: AbortSignal.timeout(callTimeoutMs),
 		});
 		const body: unknown = await answer.body.json();
 		return answer.statusCode < 300
--- a/src/command-line/administration-command.ts
+++ b/src/command-line/administration-command.ts
@@ -4,7 +4,7 @@
 import type {AdministrationTarget} from './administration-call.ts';
 
 /**
-What the commands that talk to a running node have in common.
+Base class of the commands that call a running node.
 */
 export abstract class AdministrationCommand extends Command {
 	address = Option.String('--administration-address', {
@@ -24,7 +24,7 @@
 		const key = this.key ?? process.env.QUILLFORD_ADMINISTRATION_KEY;
 		if (address === undefined || key === undefined || !isAddress(address)) {
 			this.context.stderr.write(
-				'Name a node: --administration-address IP:PORT and --administration-key KEY, or their environment variables\n',
+				'Set --administration-address IP:PORT and --administration-key KEY, or their environment variables\n',
 			);
 			return undefined;
 		}
--- a/src/command-line/check-command.ts
+++ b/src/command-line/check-command.ts
@@ -4,7 +4,7 @@
 import {exitCodes} from './exit-codes.ts';
 
 /**
-`quillford check`: checks a configuration document as a node would.
+`quillford check`: validates a configuration document with the checks of a node.
 */
 export class CheckCommand extends Command {
 	static override paths = [['check']];
@@ -12,7 +12,7 @@
 	static override usage = Command.Usage({
 		description: 'Check a configuration document',
 		details:
-			'Prints path, fault and remedy of each error and exits with 1 if there are any.',
+			'Prints the path, fault and remedy of each error and exits with 1 if there are any.',
 		examples: [['Check a document', 'quillford check configuration.yaml']],
 	});
 
--- a/src/command-line/drain-command.ts
+++ b/src/command-line/drain-command.ts
@@ -4,15 +4,15 @@
 import {exitCodes} from './exit-codes.ts';
 
 /**
-`quillford drain`: begins a planned stop of one node.
+`quillford drain`: starts the graceful shutdown of a node.
 */
 export class DrainCommand extends AdministrationCommand {
 	static override paths = [['drain']];
 
 	static override usage = Command.Usage({
-		description: 'Begin a planned stop of a node',
+		description: 'Shut down a node gracefully',
 		details:
-			'The node refuses new requests, naming other entry VMs, finishes those in flight, and exits.',
+			'The node rejects new requests and refers their callers to other entry VMs, finishes the requests in flight, and exits.',
 		examples: [
 			[
 				'Stop a node',
@@ -38,7 +38,7 @@
 		}
 
 		this.print(
-			`The node is leaving; ${answer.value.inFlight} requests are in flight`,
+			`The node is draining; ${answer.value.inFlight} requests are in flight`,
 		);
 		return exitCodes.ok;
 	}
--- a/src/command-line/exit-codes.ts
+++ b/src/command-line/exit-codes.ts
@@ -8,12 +8,12 @@
 	*/
 	failure: 1,
 	/**
-	The command was called wrongly or its settings are not valid.
+	The arguments or settings of the command are invalid.
 	*/
 	usage: 2,
 } as const;
 
 /**
-One of the exit codes.
+Exit code of a command.
 */
 export type ExitCode = (typeof exitCodes)[keyof typeof exitCodes];
--- a/src/command-line/explain-command.ts
+++ b/src/command-line/explain-command.ts
@@ -7,7 +7,7 @@
 import {exitCodes} from './exit-codes.ts';
 
 /**
-`quillford explain`: tells which policy applies to a request and what it leaves.
+`quillford explain`: shows which policy applies to a request and which regions and servers remain eligible.
 */
 export class ExplainCommand extends AdministrationCommand {
 	static override paths = [['explain']];
@@ -15,7 +15,7 @@
 	static override usage = Command.Usage({
 		description: 'Explain how a request would be routed',
 		details:
-			'Asks a configuration file, or with an administration address a running node and its live state.',
+			'Evaluates a configuration file, or queries a running node with its live state if an administration address is given.',
 		examples: [
 			[
 				'From a file',
@@ -29,7 +29,7 @@
 	});
 
 	file = Option.String('--file', {
-		description: 'Configuration document to ask in place of a node',
+		description: 'Configuration document to evaluate instead of a node',
 	});
 
 	labels = Option.String('--labels', {
@@ -37,7 +37,7 @@
 	});
 
 	client = Option.String('--client', {
-		description: 'Client account; the first one if left out',
+		description: 'Client account; defaults to the first one',
 	});
 
 	session = Option.String('--session', {description: 'Session, for slices'});
@@ -64,7 +64,7 @@
 		);
 	}
 
-	private async askNode(): Promise<Explanation | number> {
+	private async explainFromNode(): Promise<Explanation | number> {
 		const target = this.target();
 		if (!target) {
 			return exitCodes.usage;
@@ -80,7 +80,7 @@
 		}));
 	}
 
-	private async askFile(file: string): Promise<Explanation | number> {
+	private async explainFromFile(file: string): Promise<Explanation | number> {
 		let text: string;
 		try {
 			text = await readFile(file, 'utf8');
@@ -101,8 +101,8 @@
 	async execute(): Promise<number> {
 		const explanation =
 			this.file === undefined
-				? await this.askNode()
-				: await this.askFile(this.file);
+				? await this.explainFromNode()
+				: await this.explainFromFile(this.file);
 		if (typeof explanation === 'number') {
 			return explanation;
 		}
@@ -136,6 +136,6 @@
 		...(explanation.live ? ['live state in the zone of the node:'] : []),
 		...(explanation.live ?? []).map(
 			({id, load, slots, isLeaving, isEjected}) =>
-				`  ${id}: ${Math.round(load)} of ${slots} slots${isLeaving ? ', leaving' : ''}${isEjected ? ', set aside after failures' : ''}`,
+				`  ${id}: ${Math.round(load)} of ${slots} slots${isLeaving ? ', leaving' : ''}${isEjected ? ', ejected after failures' : ''}`,
 		),
 	].join('\n');
--- a/src/command-line/gateway-command.ts
+++ b/src/command-line/gateway-command.ts
@@ -2,7 +2,8 @@
 import {Command} from 'clipanion';
 import {createGateway, productHeaders} from '../gateway/index.ts';
 import {createLogger, startLogging} from '../logging/index.ts';
-// Not by way of the folder's index: that would load its schemas on nodes that read another registry.
+// Imported directly: the index of the folder does not export it, so that nodes with another registry source
+// do not load its schemas.
 import {createHttpRegistrySource} from '../registry/http-source.ts';
 import {
 	describeSettings,
@@ -12,8 +13,8 @@
 import {exitCodes} from './exit-codes.ts';
 import {SettingsCommand} from './settings-command.ts';
 
-// Bounds over all nodes that a deployment may want to change one day: two retries for ten requests in
-// ten seconds and a few besides, and what a cold server bears as its service states it.
+// Bounds over all nodes: two retries per ten requests in a window of 10 s plus a fixed allowance of 50, and
+// the rate of requests to cold servers that their service sets, without overrun.
 const bounds = {
 	retryRatio: 0.2,
 	retryWindowMs: 10_000,
@@ -24,14 +25,14 @@
 } as const;
 
 /**
-`quillford gateway`: runs a node that serves routes of a registry until it is told to stop.
+`quillford gateway`: runs a node that serves the routes of a registry until SIGTERM or SIGINT.
 */
 export class GatewayCommand extends SettingsCommand<typeof gatewaySettings> {
 	static override paths = [['gateway']];
 
 	static override usage = Command.Usage({
 		description: 'Run a node that serves the routes of a registry',
-		details: `Routes, services, backend servers and evacuated zones come from a registry, see docs/REGISTRY.md. Every setting is a flag and an environment variable; the flag goes first.\n\n${describeSettings(gatewaySettings)}`,
+		details: `The node reads routes, services, backend servers and evacuated zones from a registry, see docs/REGISTRY.md. Every setting is a flag and an environment variable; the flag takes precedence.\n\n${describeSettings(gatewaySettings)}`,
 		examples: [
 			[
 				'Run a node of zone abj-wuse',
@@ -66,7 +67,7 @@
 		}
 
 		await gateway.start();
-		logger.info({reason: await promise}, 'planned stop');
+		logger.info({reason: await promise}, 'graceful shutdown started');
 		const isIdle = await gateway.drain(settings.drainTimeoutMs);
 		await gateway.stop();
 		logger.info({isIdle}, 'stopped');
--- a/src/command-line/report-command.ts
+++ b/src/command-line/report-command.ts
@@ -11,7 +11,8 @@
 import {exitCodes} from './exit-codes.ts';
 
 /**
-`quillford report`: prints service-level burn, cost, latency and away share.
+`quillford report`: prints the burn rates of the service-level objectives, cost, latency and the share of
+requests served away from their region.
 */
 export class ReportCommand extends AdministrationCommand {
 	static override paths = [['report']];
@@ -19,7 +20,7 @@
 	static override usage = Command.Usage({
 		description: 'Report burn, cost, tail latency and away share',
 		details:
-			'Each node reports what it answered; with --all the named node asks all others, and those that do not answer are named.',
+			'A node reports the requests that it answered. With --all it also queries all other nodes and lists those that do not answer.',
 		examples: [
 			[
 				'From one node',
@@ -32,7 +33,7 @@
 		],
 	});
 
-	all = Option.Boolean('--all', false, {description: 'Ask all nodes'});
+	all = Option.Boolean('--all', false, {description: 'Query all nodes'});
 
 	compare = Option.String('--compare', {
 		description: 'Two policies to compare, separated by a comma',
@@ -55,7 +56,7 @@
 
 		const names = this.compare?.split(',');
 		if (names && names.length !== 2) {
-			this.fail('Name two policies: --compare FIRST,SECOND');
+			this.fail('--compare requires two policies: --compare FIRST,SECOND');
 			return exitCodes.usage;
 		}
 
--- a/src/command-line/run.ts
+++ b/src/command-line/run.ts
@@ -10,10 +10,10 @@
 import {version} from './version.ts';
 
 /**
-Runs the command line and returns its exit code.
+Runs the command that the arguments select and returns its exit code.
 */
 export const runCommandLine = async (
-	words: readonly string[],
+	args: readonly string[],
 ): Promise<number> => {
 	const cli = new Cli({
 		binaryName: 'quillford',
@@ -34,11 +34,11 @@
 	}
 
 	try {
-		cli.process([...words]);
+		cli.process([...args]);
 	} catch (error) {
 		process.stderr.write(cli.error(error));
 		return exitCodes.usage;
 	}
 
-	return cli.run([...words]);
+	return cli.run([...args]);
 };
--- a/src/command-line/serve-command.ts
+++ b/src/command-line/serve-command.ts
@@ -14,19 +14,19 @@
 
 type Closable = {close(): Promise<void>};
 
-// How long listeners stay open after the last request, for callers whose next request is
-// already under way: they are refused with a clear word in place of a broken connection.
-const lingerMs = 500;
+// Time that listeners stay open after the drain. Callers whose next request is already in flight
+// receive an error response instead of a connection reset.
+const listenerLingerMs = 500;
 
 /**
-`quillford serve`: runs an entry node until it is told to stop.
+`quillford serve`: runs an entry node until SIGTERM, SIGINT or a drain call.
 */
 export class ServeCommand extends SettingsCommand<typeof serveSettings> {
 	static override paths = [['serve']];
 
 	static override usage = Command.Usage({
 		description: 'Run an entry node',
-		details: `Every setting is a flag and an environment variable; the flag goes first.\n\n${describeSettings(serveSettings)}`,
+		details: `Every setting is a flag and an environment variable; the flag takes precedence.\n\n${describeSettings(serveSettings)}`,
 		examples: [
 			[
 				'Run a node of zone abj-wuse',
@@ -68,7 +68,7 @@
 			await startCallerServer(node),
 		);
 	} catch (error) {
-		logger.error({fault: (error as Error).message}, 'the node could not start');
+		logger.error({fault: (error as Error).message}, 'node failed to start');
 		await closeAll(servers);
 		await node.stop();
 		return exitCodes.failure;
@@ -76,10 +76,10 @@
 
 	logger.info({callerAddress: node.settings.callerAddress}, 'serving');
 	const reason = await promise;
-	logger.info({reason}, 'planned stop');
+	logger.info({reason}, 'graceful shutdown started');
 	const isIdle = await node.drain();
 	await new Promise((done) => {
-		setTimeout(done, lingerMs);
+		setTimeout(done, listenerLingerMs);
 	});
 	await closeAll(servers);
 	await node.stop();
--- a/src/command-line/settings-command.ts
+++ b/src/command-line/settings-command.ts
@@ -17,7 +17,7 @@
 };
 
 /**
-A command whose settings are flags and environment variables.
+Base class of commands that read their settings from flags and environment variables.
 */
 export abstract class SettingsCommand<Group extends Settings> extends Command {
 	protected constructor(private readonly settings: Group) {
@@ -41,9 +41,7 @@
 		}
 
 		const lines = read.error.map((fault) => `  ${formatSettingFault(fault)}`);
-		this.context.stderr.write(
-			`Some settings are not valid:\n${lines.join('\n')}\n`,
-		);
+		this.context.stderr.write(`Invalid settings:\n${lines.join('\n')}\n`);
 		return exitCodes.usage;
 	}
 
--- a/src/command-line/version.ts
+++ b/src/command-line/version.ts
@@ -1,4 +1,4 @@
 /**
-Version of this build, as in package.json.
+Version of this build; equals the version in package.json.
 */
 export const version = '0.1.0';
--- a/tests/command-line/command-line.test.ts
+++ b/tests/command-line/command-line.test.ts
@@ -6,7 +6,7 @@
 import {test} from 'node:test';
 import {exampleText} from '../fixtures.ts';
 
-// The binary runs from a folder without anything else in it.
+// The binary runs in a folder without the repository, so that missing files in the bundle show up.
 const folder = mkdtempSync(path.join(tmpdir(), 'quillford-binary-'));
 const binary = path.join(folder, 'quillford');
 copyFileSync('dist/quillford', binary);
@@ -16,8 +16,8 @@
 	exampleText('lindner').replace('kind: plain', 'kind: other'),
 );
 
-const run = (...words: readonly string[]) =>
-	spawnSync(binary, words, {cwd: folder, encoding: 'utf8', env: {}});
+const run = (...args: readonly string[]) =>
+	spawnSync(binary, args, {cwd: folder, encoding: 'utf8', env: {}});
 
 test('the version and the help with examples are printed', () => {
 	assert.match(run('--version').stdout, /^\d+\.\d+\.\d+/v);
@@ -27,7 +27,7 @@
 	);
 });
 
-test('check tells path, fault and remedy, and exits with 1', () => {
+test('check prints path, fault and remedy, and exits with 1', () => {
 	const good = run('check', 'good.yaml');
 	assert.equal(good.status, 0);
 	assert.match(good.stdout, /version 1 is valid/v);
@@ -37,7 +37,7 @@
 	assert.equal(run('check', 'missing.yaml').status, 2);
 });
 
-test('explain answers from a file', () => {
+test('explain evaluates a configuration file', () => {
 	const answer = run(
 		'explain',
 		'--file',
@@ -55,7 +55,7 @@
 	);
 });
 
-test('wrong calls exit with 2 and say what is missing', () => {
+test('invalid arguments exit with 2 and missing settings are listed', () => {
 	assert.equal(run('nonsense').status, 2);
 	const serve = run('serve', '--caller-address', 'here');
 	assert.equal(serve.status, 2);
