--- a/main.ts
+++ b/main.ts
@@ -1,5 +1,5 @@
 /**
-The entry of the one binary: the product's commands, and the node of the users' platform.
+Entry point of the executable: runs the command line of the product, or a node of the platform adapter.
 */
 import {createRequire} from 'node:module';
 import process from 'node:process';
@@ -10,21 +10,21 @@
 const firstArgument = 2;
 const platformCommand = 'platform-node';
 
-// Each side is loaded only when it runs: a node on a small machine starts in a fraction of the
-// time that the listeners of the product take to load.
+// Each side is loaded on demand: on a small machine, a platform node starts in a fraction of the time
+// that loading the listeners of the product takes.
 const main = async () => {
-	const words = process.argv.slice(firstArgument);
-	if (words[0] === platformCommand) {
+	const args = process.argv.slice(firstArgument);
+	if (args[0] === platformCommand) {
 		const {runNode} = await import('./platform/run-node.ts');
-		process.exit(await runNode(words.slice(1)));
+		process.exit(await runNode(args.slice(1)));
 	}
 
 	const {runCommandLine} = await loadCommandLine();
-	process.exitCode = await runCommandLine(words);
+	process.exitCode = await runCommandLine(args);
 };
 
-// In the executable the command line is a script of its own: the node of the platform, whose start
-// counts after each loss of power, need not carry it.
+// The executable holds the command line as a separate script. A platform node does not load it and
+// restarts faster after a power loss.
 const loadCommandLine = async (): Promise<typeof commandLine> =>
 	isSea()
 		? compileAsset('command-line')
--- a/src/platform/platform-client.ts
+++ b/src/platform/platform-client.ts
@@ -6,7 +6,7 @@
 import type {Address} from '../shared/index.ts';
 
 /**
-Why a read of the platform failed.
+Reason why a read from the platform failed.
 */
 export type PlatformFault = {
 	readonly kind: 'unreachable' | 'refused' | 'malformed' | 'too-large';
@@ -14,31 +14,31 @@
 };
 
 /**
-A document of the configuration service, or word that there is no newer one.
+A document of the configuration service, or the information that there is no newer one.
 */
 export type ConfigurationRead =
 	| {readonly kind: 'document'; readonly text: string}
 	| {readonly kind: 'unchanged'};
 
 /**
-One VM in the platform's list.
+An entry of the platform's VM list.
 */
 export type ListedVm = z.output<typeof listedVm>;
 
 /**
-One model version in the weight store.
+A model version in the weight store.
 */
 export type StoredWeights = z.output<typeof storedWeights>;
 
 /**
- Reads the services of the platform; nothing can be written.
- 
- This is the one place that knows the platform's protocol. A deployment with another
- protocol brings its own client with the same four calls.
- */
+Read-only client of the platform services.
+
+Only this module depends on the platform's protocol. A deployment with another protocol provides its
+own client with the same four calls.
+*/
 export type PlatformClient = {
 	/**
-	Waits up to `waitMs` for a document newer than `after`; each call counts against the service.
+	Waits up to `waitMs` for a document newer than `after`. Each call adds to the request load of the service.
 	*/
 	readConfiguration(
 		after: number,
@@ -66,7 +66,7 @@
 		availabilityZone: z.string(),
 		state: z.enum(['live', 'leaving']),
 		/**
-		Names the process meant; without it the word holds for any.
+		Identifies the server process that the entry applies to; without it the entry applies to any process.
 		*/
 		incarnation: z.string().optional(),
 	}),
@@ -81,13 +81,13 @@
 const directoryBody = z.object({entryVms: z.array(z.string())});
 const weightsBody = z.object({weights: z.array(storedWeights)});
 
-const answerTimeoutMs = 2000;
+const responseTimeoutMs = 2000;
 
 /**
-Builds a client for the platform at an address.
+Creates a client of the platform services at an address.
 */
 export const createPlatformClient = (address: Address): PlatformClient => {
-	const dispatcher = new Agent({connect: {timeout: answerTimeoutMs}});
+	const dispatcher = new Agent({connect: {timeout: responseTimeoutMs}});
 	const base = `http://${address}`;
 
 	const get = async (
@@ -97,7 +97,7 @@
 		try {
 			const answer = await request(base + path, {
 				dispatcher,
-				signal: AbortSignal.timeout(answerTimeoutMs + waitMs),
+				signal: AbortSignal.timeout(responseTimeoutMs + waitMs),
 			});
 			return Result.ok({
 				status: answer.statusCode,
@@ -135,7 +135,7 @@
 							kind: 'document',
 							text,
 						})
-					: Result.err<ConfigurationRead, PlatformFault>(refused(status));
+					: Result.err<ConfigurationRead, PlatformFault>(refusedFault(status));
 			});
 		},
 		async readVmList() {
@@ -163,7 +163,7 @@
 		length += chunk.length;
 		if (length > 2 * maximumDocumentBytes) {
 			throw new TooLargeError(
-				`the answer is longer than ${2 * maximumDocumentBytes} bytes`,
+				`response body exceeds ${2 * maximumDocumentBytes} bytes`,
 			);
 		}
 
@@ -179,7 +179,7 @@
 	schema: z.ZodType<Body>,
 ): Result<Body, PlatformFault> => {
 	if (status !== 200) {
-		return Result.err(refused(status));
+		return Result.err(refusedFault(status));
 	}
 
 	try {
@@ -192,7 +192,7 @@
 	}
 };
 
-const refused = (status: number): PlatformFault => ({
+const refusedFault = (status: number): PlatformFault => ({
 	kind: 'refused',
-	message: `the platform answered with status ${status}`,
+	message: `platform answered with status ${status}`,
 });
