--- a/tests/acceptance/engine-scene.ts
+++ b/tests/acceptance/engine-scene.ts
@@ -9,38 +9,38 @@
 const zone = 'abj-wuse';
 
 /**
-Nodes of one zone, as processes.
+Number of node processes in each zone.
 */
-export const nodesOfZone = 3;
+export const zoneNodeCount = 3;
 
 /**
-A call that reached the first engine.
+A call that the first engine received.
 */
 export type EngineCall = {
 	readonly at: number;
 	/**
-	The node of the attempt; empty for reads of the load.
+	The node that sent the attempt; empty for polls of the engine load.
 	*/
 	readonly node: string;
 	readonly isRefused: boolean;
 };
 
 /**
-Engines of one zone and the nodes before them, as processes.
+A deployment whose engines are all in one zone, with engines and nodes as processes.
 */
 export type EngineScene = {
 	/**
-	Sends requests to all nodes of the zone in turn.
+	Sends a request every 20 ms, to the nodes of the zone in turn.
 
-	@returns The statuses of the answers.
+	@returns The status codes of the answers.
 	*/
-	play(lengthMs: number): Promise<readonly number[]>;
+	sendSteadily(lengthMs: number): Promise<readonly number[]>;
 	/**
-	Sets faults of the first engine.
+	Injects faults into the first engine.
 	*/
 	setFaults(faults: Readonly<Record<string, unknown>>): Promise<void>;
 	/**
-	What reached the first engine, by time of day in milliseconds.
+	Calls that the first engine received, with wall-clock times in milliseconds.
 	*/
 	counts(): Promise<{
 		readonly arrivals: readonly number[];
@@ -49,7 +49,10 @@
 	}>;
 };
 
-const ask = async (address: string, session: number): Promise<number> => {
+const sendRequest = async (
+	address: string,
+	session: number,
+): Promise<number> => {
 	const answer = await request(`http://${address}/v1/chat/completions`, {
 		method: 'POST',
 		headers: {
@@ -69,7 +72,7 @@
 };
 
 /**
-Starts three engines of one zone and three nodes in each zone.
+Starts three engines in one zone and three nodes in each zone.
 */
 export const startEngineScene = async (
 	t: TestContext,
@@ -84,7 +87,7 @@
 
 	const deployment = await startDeployment({
 		document,
-		nodesPerZone: nodesOfZone,
+		nodesPerZone: zoneNodeCount,
 		delayMs: 0,
 		stepMs: 5,
 		prefillMs: 10,
@@ -99,11 +102,11 @@
 	const {address} = deployment.backendServers.get(first!.id)!;
 
 	return {
-		async play(lengthMs) {
+		async sendSteadily(lengthMs) {
 			const statuses: Array<Promise<number>> = [];
 			const until = Date.now() + lengthMs;
-			for (let turn = 0; Date.now() < until; turn += 1) {
-				statuses.push(ask(addresses[turn % addresses.length]!, turn));
+			for (let index = 0; Date.now() < until; index += 1) {
+				statuses.push(sendRequest(addresses[index % addresses.length]!, index));
 				await sleep(20);
 			}
 
--- a/tests/acceptance/gateway-command.test.ts
+++ b/tests/acceptance/gateway-command.test.ts
@@ -24,7 +24,7 @@
 let node: ChildProcess;
 let log = '';
 
-const ask = async () => {
+const sendRequest = async () => {
 	try {
 		const answer = await request(`http://${callerAddress}/a/b`, {
 			headers: {
@@ -38,8 +38,8 @@
 	}
 };
 
-// A process takes longer to start than a node in this one.
-const processTurns = 200;
+// A node process takes longer to start than a node in the test process.
+const processAttempts = 200;
 
 before(async () => {
 	registryServer = await startRegistryServer(registry, registryAddress);
@@ -77,7 +77,7 @@
 	await registryServer.close();
 });
 
-test('a node serves the routes of a registry from the moment it has them', async () => {
+test('a node serves the routes of the registry as soon as it has received them', async () => {
 	writeRoutes(
 		registry,
 		documentOf({
@@ -85,42 +85,54 @@
 			services: [serviceOf()],
 		}),
 	);
-	await until(async () => (await ask()).status === 200, processTurns);
-	assert.deepEqual(await ask(), {status: 200, text: 'done'});
+	await until(
+		async () => (await sendRequest()).status === 200,
+		processAttempts,
+	);
+	assert.deepEqual(await sendRequest(), {status: 200, text: 'done'});
 });
 
-test('a registry value that cannot be read is logged and changes nothing', async () => {
+test('an invalid registry value is logged and does not change the routes', async () => {
 	const wrong = {
 		kind: 'routes',
 		document: {version: 9},
 	} as unknown as RegistryValue;
 	registry.write('routes', wrong);
-	await until(() => log.includes('registry item cannot be read'), processTurns);
+	await until(
+		() => log.includes('registry item cannot be read'),
+		processAttempts,
+	);
 	assert.match(log, /"key":"routes"/v);
-	assert.deepEqual(await ask(), {status: 200, text: 'done'});
+	assert.deepEqual(await sendRequest(), {status: 200, text: 'done'});
 });
 
-test('an evacuated zone gets nothing, and is used again afterwards', async () => {
+test('an evacuated zone receives no requests until the evacuation ends', async () => {
 	registry.write('evacuation north', {
 		kind: 'evacuation',
 		availabilityZone: 'north',
 	});
-	await until(async () => (await ask()).status === 503, processTurns);
-	const {status} = await ask();
+	await until(
+		async () => (await sendRequest()).status === 503,
+		processAttempts,
+	);
+	const {status} = await sendRequest();
 	assert.equal(status, 503);
 	registry.write('evacuation north', undefined);
-	await until(async () => (await ask()).status === 200, processTurns);
-	assert.deepEqual(await ask(), {status: 200, text: 'done'});
+	await until(
+		async () => (await sendRequest()).status === 200,
+		processAttempts,
+	);
+	assert.deepEqual(await sendRequest(), {status: 200, text: 'done'});
 });
 
-test('a planned stop ends the process with success', async () => {
+test('a graceful shutdown exits with code 0', async () => {
 	const ended = once(node, 'exit');
 	node.kill('SIGTERM');
 	const [code] = (await ended) as [number | null];
 	assert.equal(code, 0);
 });
 
-test('settings that are missing are named', async () => {
+test('missing settings are listed', async () => {
 	const child = spawn('dist/quillford', ['gateway']);
 	let output = '';
 	child.stderr.on('data', (chunk: Uint8Array) => {
--- a/tests/acceptance/openai-client.test.ts
+++ b/tests/acceptance/openai-client.test.ts
@@ -36,7 +36,7 @@
 	await deployment.stop();
 });
 
-test('a whole answer', async () => {
+test('a non-streaming request returns a complete answer', async () => {
 	const answer = await client.chat.completions.create({
 		model: 'scribe-8b',
 		messages,
@@ -46,22 +46,22 @@
 	assert.equal(answer.usage?.completion_tokens, 5);
 });
 
-test('a streamed answer', async () => {
+test('a streaming request returns one chunk per token', async () => {
 	const stream = await client.chat.completions.create({
 		model: 'scribe-8b',
 		messages,
 		max_tokens: 7,
 		stream: true,
 	});
-	const pieces: string[] = [];
+	const chunks: string[] = [];
 	for await (const chunk of stream) {
-		pieces.push(chunk.choices[0]?.delta.content ?? '');
+		chunks.push(chunk.choices[0]?.delta.content ?? '');
 	}
 
-	assert.equal(pieces.length, 7);
+	assert.equal(chunks.length, 7);
 });
 
-test('an aborted stream is canceled at the engine too', async () => {
+test('an aborted stream is also canceled at the engine', async () => {
 	const stream = await client.chat.completions.create({
 		model: 'scribe-8b',
 		messages,
@@ -91,7 +91,7 @@
 	assert.fail('the engine still runs the request');
 });
 
-test('the list of models', async () => {
+test('the client lists the available models', async () => {
 	const models = await client.models.list();
 	assert.deepEqual(
 		models.data.map(({id}) => id),
@@ -99,7 +99,7 @@
 	);
 });
 
-test('errors map to the classes of the client', async () => {
+test('errors map to the error classes of the OpenAI client', async () => {
 	await assert.rejects(
 		client.chat.completions.create({model: 'unknown', messages}),
 		OpenAI.NotFoundError,
@@ -108,9 +108,16 @@
 		client.chat.completions.create({model: '', messages: 5 as never}),
 		OpenAI.NotFoundError,
 	);
-	const stranger = new OpenAI({baseURL, apiKey: 'wrong', maxRetries: 0});
+	const unauthenticatedClient = new OpenAI({
+		baseURL,
+		apiKey: 'wrong',
+		maxRetries: 0,
+	});
 	await assert.rejects(
-		stranger.chat.completions.create({model: 'scribe-8b', messages}),
+		unauthenticatedClient.chat.completions.create({
+			model: 'scribe-8b',
+			messages,
+		}),
 		OpenAI.AuthenticationError,
 	);
 });
@@ -131,7 +138,7 @@
 	return {status: answer.status, ...error};
 };
 
-test('malformed, oversize and unreadable requests get a clear answer', async () => {
+test('malformed and oversized requests receive a specific error type', async () => {
 	assert.deepEqual(
 		await send({body: '{"model":'}).then(({status, type}) => ({status, type})),
 		{status: 400, type: 'bad-request'},
@@ -170,14 +177,14 @@
 	assert.equal((await send({body: '{}'}, '/nothing')).type, 'unknown-path');
 });
 
-test('a body that is too long gets its answer each time, though it was refused before it was read', async () => {
+test('a client always receives the error for an oversized body, although it is rejected before it is read', async () => {
 	const body = `{"model":"${'x'.repeat(5_000_000)}"}`;
-	for (let turn = 0; turn < 20; turn += 1) {
+	for (let attempt = 0; attempt < 20; attempt += 1) {
 		assert.equal((await send({body})).type, 'body-too-large');
 	}
 });
 
-test('nothing is left in flight', async () => {
+test('no request remains in flight', async () => {
 	for (const name of deployment.nodes.keys()) {
 		const {inFlight} = (await deployment.administration(name, 'ready')) as {
 			inFlight: number;
--- a/tests/acceptance/operators.test.ts
+++ b/tests/acceptance/operators.test.ts
@@ -28,7 +28,7 @@
 });
 
 const run = async (
-	...words: readonly string[]
+	...args: readonly string[]
 ): Promise<{readonly code: number | null; readonly output: string}> => {
 	const {administrationAddress} = deployment.nodes.get('abj-wuse-1')!;
 	const target = [
@@ -37,7 +37,7 @@
 		'--administration-key',
 		administrationKey,
 	];
-	const child = spawn('dist/quillford', [...words, ...target]);
+	const child = spawn('dist/quillford', [...args, ...target]);
 	let output = '';
 	const collect = (chunk: Uint8Array) => {
 		output += chunk.toString();
@@ -73,14 +73,14 @@
 	await answer.text();
 };
 
-test('a wrong key opens nothing', async () => {
+test('the administration API rejects a request without a key', async () => {
 	const answer = await fetch(
 		`http://${deployment.nodes.get('abj-wuse-1')!.administrationAddress}/report`,
 	);
 	assert.equal(answer.status, 401);
 });
 
-test('report and its comparison of two policies cover all nodes', async () => {
+test('report --all covers all nodes and compares two policies', async () => {
 	for (let session = 0; session < 40; session += 1) {
 		await send('weight=light', String(session));
 	}
@@ -104,7 +104,7 @@
 	assert.ok(json.output.startsWith('{'));
 });
 
-test('explain draws on the live state of the node', async () => {
+test('explain includes the live state of the node', async () => {
 	const {code, output} = await run(
 		'explain',
 		'--model',
@@ -117,7 +117,7 @@
 	assert.match(output, /quill-scribes-1: \d+ of 64 slots/v);
 });
 
-test('the other calls of the administration API answer', async () => {
+test('the remaining endpoints of the administration API answer', async () => {
 	const {isReady} = (await deployment.administration(
 		'abj-wuse-1',
 		'ready',
@@ -140,7 +140,7 @@
 	assert.equal(version, 1);
 });
 
-test('report names the nodes that do not answer', async () => {
+test('report lists the nodes that do not answer', async () => {
 	const node = deployment.nodes.get('ibd-bodija-1')!;
 	node.child.kill('SIGKILL');
 	await node.exited;
@@ -148,7 +148,7 @@
 	assert.match(output, /did not answer: ibd-bodija-1/v);
 });
 
-test('drain ends the node, and the command says what is in flight', async () => {
+test('drain stops the node and prints the number of requests in flight', async () => {
 	const {code, output} = await run('drain');
 	assert.equal(code, 0);
 	assert.match(output, /0 requests are in flight/v);
--- a/tests/acceptance/resting-engine.test.ts
+++ b/tests/acceptance/resting-engine.test.ts
@@ -1,14 +1,14 @@
 import {test, type TestContext} from 'node:test';
 import {
-	nodesOfZone,
+	zoneNodeCount,
 	startEngineScene,
 	type EngineCall,
 } from './engine-scene.ts';
 
-const restMs = 3000;
-// Requests that were under way when a node received the refusal may still arrive, in milliseconds.
+const retryAfterMs = 3000;
+// Requests that were in flight when a node received the rejection may still arrive.
 const inFlightMs = 500;
-const allowedPerRest = 2;
+const allowedPerBackoff = 2;
 
 const callsWithin = (
 	calls: readonly EngineCall[],
@@ -16,8 +16,8 @@
 	until: number,
 ): number => calls.filter(({at}) => at > from && at < until).length;
 
-// The most calls of one node within a rest that the engine asked it for.
-const mostWithinRest = (attempts: readonly EngineCall[]): number =>
+// Maximum number of calls that one node sent during a backoff period that the engine had requested.
+const mostCallsInBackoff = (attempts: readonly EngineCall[]): number =>
 	Math.max(
 		0,
 		...attempts
@@ -26,36 +26,39 @@
 				callsWithin(
 					attempts.filter((other) => other.node === node),
 					at + inFlightMs,
-					at + restMs,
+					at + retryAfterMs,
 				),
 			),
 	);
 
-test('an engine that refuses with Retry-After receives nothing from that node until the rest is over', async (t: TestContext) => {
-	const {play, setFaults, counts} = await startEngineScene(t);
-	await play(500);
-	await setFaults({isRefusing: true, restSeconds: restMs / 1000});
-	const statuses = await play(1000 + 2 * restMs);
+test('a node sends nothing to an engine that answered with Retry-After until the backoff ends', async (t: TestContext) => {
+	const {sendSteadily, setFaults, counts} = await startEngineScene(t);
+	await sendSteadily(500);
+	await setFaults({isRefusing: true, restSeconds: retryAfterMs / 1000});
+	const statuses = await sendSteadily(1000 + 2 * retryAfterMs);
 	const {calls} = await counts();
 	const attempts = calls.filter(({node}) => node !== '');
-	const most = mostWithinRest(attempts);
-	t.assert.ok(most <= allowedPerRest, `${most}, allowed ${allowedPerRest}`);
+	const most = mostCallsInBackoff(attempts);
+	t.assert.ok(
+		most <= allowedPerBackoff,
+		`${most}, allowed ${allowedPerBackoff}`,
+	);
 	t.assert.deepStrictEqual(
 		statuses.filter((status) => status !== 200),
 		[],
 	);
 
-	// While all nodes rest for the first time, none reads the load.
+	// During the first backoff of all nodes, no node polls the engine load.
 	const refused = attempts.filter(({isRefused}) => isRefused);
 	const firstAt = Map.groupBy(refused, ({node}) => node)
 		.values()
 		.map(([first]) => first!.at)
 		.toArray();
-	t.assert.strictEqual(firstAt.length, nodesOfZone);
+	t.assert.strictEqual(firstAt.length, zoneNodeCount);
 	const reads = callsWithin(
 		calls.filter(({node}) => node === ''),
 		Math.max(...firstAt) + inFlightMs,
-		Math.min(...firstAt) + restMs,
+		Math.min(...firstAt) + retryAfterMs,
 	);
 	t.assert.strictEqual(reads, 0);
 });
