--- a/src/configuration/configuration-schema.ts
+++ b/src/configuration/configuration-schema.ts
@@ -86,7 +86,7 @@
 		.string()
 		.refine(
 			isAddress,
-			'must be an IP number and a port, such as 10.0.0.7:8000',
+			'must be an IP address and a port, such as 10.0.0.7:8000',
 		),
 	labels,
 	slots: z.number().int().positive().max(10_000),
--- a/src/configuration/configuration-store.ts
+++ b/src/configuration/configuration-store.ts
@@ -91,13 +91,13 @@
 
 	const stamp = () => (current ? stampOf(current) : noConfiguration);
 
-	const reject = (rejection: RejectedDocument): Offer => {
+	const reject = (refusal: RejectedDocument): Offer => {
 		// The platform and several peers offer the document in force again and again; only faults are recorded.
-		if (rejection.reason !== 'same') {
-			rejections = [...rejections, rejection].slice(-maximumRejections);
+		if (refusal.reason !== 'same') {
+			rejections = [...rejections, refusal].slice(-maximumRejections);
 		}
 
-		return {kind: 'refused', refusal: rejection};
+		return {kind: 'refused', refusal};
 	};
 
 	return {
--- a/src/settings/setting-kinds.ts
+++ b/src/settings/setting-kinds.ts
@@ -45,11 +45,11 @@
 export const addressSetting = (options: Options): Setting<Address> =>
 	createSetting(
 		options,
-		'an IP number and a port, such as 10.0.0.7:8000',
+		'an IP address and a port, such as 10.0.0.7:8000',
 		(text) =>
 			isAddress(text)
 				? Result.ok(text)
-				: Result.err('is not an IP number and port'),
+				: Result.err('is not an IP address and port'),
 	);
 
 /**
@@ -60,11 +60,11 @@
 ): Setting<Address | undefined> =>
 	createSetting<Address | undefined>(
 		options,
-		'an IP number and a port, or empty',
+		'an IP address and a port, or empty',
 		(text) =>
 			text === '' || isAddress(text)
 				? Result.ok(text === '' ? undefined : text)
-				: Result.err('is not an IP number and port'),
+				: Result.err('is not an IP address and port'),
 	);
 
 /**
@@ -75,12 +75,12 @@
 ): Setting<readonly Address[]> =>
 	createSetting<readonly Address[]>(
 		options,
-		'IP numbers and ports, separated by commas, or empty',
+		'IP addresses and ports, separated by commas, or empty',
 		(text) => {
 			const addresses = splitList(text);
 			return addresses.every((address) => isAddress(address))
 				? Result.ok(addresses)
-				: Result.err('contains an entry that is not an IP number and port');
+				: Result.err('contains an entry that is not an IP address and port');
 		},
 	);
 
