--- a/src/configuration/configuration-schema.ts
+++ b/src/configuration/configuration-schema.ts
@@ -2,7 +2,7 @@
 import {isAddress} from '../shared/index.ts';
 
 /**
-The largest document the configuration service holds, in bytes.
+Maximum size of a document that the configuration service stores, in bytes.
 */
 export const maximumDocumentBytes = 1_048_576;
 
@@ -86,7 +86,7 @@
 		.string()
 		.refine(
 			isAddress,
-			'must be an IP number and a port, such as 10.0.0.7:8000',
+			'must be an IP address and a port, such as 10.0.0.7:8000',
 		),
 	labels,
 	slots: z.number().int().positive().max(10_000),
@@ -149,7 +149,7 @@
 });
 
 /**
-The whole configuration document, as operators write it.
+Schema of the configuration document that operators write.
 */
 export const configurationSchema = z.strictObject({
 	version: z.number().int().positive(),
--- a/src/settings/setting-kinds.ts
+++ b/src/settings/setting-kinds.ts
@@ -5,7 +5,7 @@
 type Options = Parameters<typeof createSetting>[0];
 
 /**
-A text that matches a pattern.
+Creates a setting whose value must match a pattern.
 */
 export const textSetting = (
 	options: Options,
@@ -13,11 +13,11 @@
 	allowed: string,
 ): Setting<string> =>
 	createSetting(options, allowed, (text) =>
-		pattern.test(text) ? Result.ok(text) : Result.err('has the wrong form'),
+		pattern.test(text) ? Result.ok(text) : Result.err('has an invalid format'),
 	);
 
 /**
-A whole number within bounds.
+Creates a setting for an integer within bounds, both inclusive.
 */
 export const numberSetting = (
 	options: Options,
@@ -34,58 +34,58 @@
 			}
 
 			return value < minimum || value > maximum
-				? Result.err('is out of bounds')
+				? Result.err('is out of range')
 				: Result.ok(value);
 		},
 	);
 
 /**
-An IP number and port.
+Creates a setting for an IP address and port.
 */
 export const addressSetting = (options: Options): Setting<Address> =>
 	createSetting(
 		options,
-		'an IP number and a port, such as 10.0.0.7:8000',
+		'an IP address and a port, such as 10.0.0.7:8000',
 		(text) =>
 			isAddress(text)
 				? Result.ok(text)
-				: Result.err('is not an IP number and port'),
+				: Result.err('is not an IP address and port'),
 	);
 
 /**
-An IP number and port, or nothing.
+Creates a setting for an IP address and port; an empty value means none.
 */
 export const optionalAddressSetting = (
 	options: Options,
 ): Setting<Address | undefined> =>
 	createSetting<Address | undefined>(
 		options,
-		'an IP number and a port, or empty',
+		'an IP address and a port, or empty',
 		(text) =>
 			text === '' || isAddress(text)
 				? Result.ok(text === '' ? undefined : text)
-				: Result.err('is not an IP number and port'),
+				: Result.err('is not an IP address and port'),
 	);
 
 /**
-A list of IP numbers and ports.
+Creates a setting for a comma-separated list of IP addresses and ports.
 */
 export const addressListSetting = (
 	options: Options,
 ): Setting<readonly Address[]> =>
 	createSetting<readonly Address[]>(
 		options,
-		'IP numbers and ports, separated by commas, or empty',
+		'IP addresses and ports, separated by commas, or empty',
 		(text) => {
 			const addresses = splitList(text);
 			return addresses.every((address) => isAddress(address))
 				? Result.ok(addresses)
-				: Result.err('holds something that is not an IP number and port');
+				: Result.err('contains an entry that is not an IP address and port');
 		},
 	);
 
 /**
-Pairs of addresses.
+Creates a setting for a comma-separated list of address pairs.
 */
 export const addressPairsSetting = (
 	options: Options,
@@ -101,12 +101,12 @@
 			);
 			return isValid
 				? Result.ok(new Map(pairs.map(([from, to]) => [from!, to!])))
-				: Result.err('holds something that is not a pair of addresses');
+				: Result.err('contains an entry that is not a pair of addresses');
 		},
 	);
 
 /**
-One of a list of words.
+Creates a setting whose value is one of the given choices.
 */
 export const choiceSetting = <Choice extends string>(
 	options: Options,
