--- a/src/node/create-node.ts
+++ b/src/node/create-node.ts
@@ -96,7 +96,7 @@
 					inFlight,
 					readiness,
 				}),
-				answers: {
+				handlers: {
 					state: (availabilityZone) => ({
 						members: [membership.self(), ...membership.members()],
 						digests: digests.allEntries(availabilityZone, clock()),
--- a/src/peers/backend-limit-messages.ts
+++ b/src/peers/backend-limit-messages.ts
@@ -1,31 +1,35 @@
-import {checkCount, checkText} from './tuple-checks.ts';
+import {checkNonNegative, checkString} from './tuple-checks.ts';
 
 /**
-The limit of one backend server, as one node tells another.
+The request rate limit of one backend server, as sent between nodes.
 */
 export type LimitUpdate = {
 	/**
-	Names the life of the server.
+	Identifies one incarnation of the server.
 	*/
 	readonly incarnationId: string;
 	/**
-	Requests a second that it takes from all nodes; undefined where its limit has ended.
+	Requests per second that the server accepts from all nodes together; undefined once the limit has been lifted.
 	*/
 	readonly perSecond: number | undefined;
 	/**
-	The server said so between these moments, told as milliseconds since them, for clocks differ.
+	Milliseconds since the earliest time at which the server can have stated the limit. Ages are sent instead of
+	timestamps because the clocks of nodes differ.
 	*/
 	readonly earliestAgoMs: number;
+	/**
+	Milliseconds since the latest time at which the server can have stated the limit.
+	*/
 	readonly latestAgoMs: number;
 };
 
 /**
-What nodes tell each other of limits that backend servers name.
+Limits stated by backend servers, as sent between nodes.
 */
 export type BackendLimitMessage = {
 	readonly kind: 'backend-limits';
 	/**
-	Id of the node that tells.
+	Id of the sending node.
 	*/
 	readonly from: string;
 	readonly limits: readonly LimitUpdate[];
@@ -33,26 +37,28 @@
 
 type Row = readonly unknown[];
 
-// Stands for no limit on the wire.
-const ended = 'none';
+// Encodes "no limit" on the wire.
+const noLimit = 'none';
 
 /**
-The rows of a message, one a server; each can be read alone.
+Encodes a message as one row per server; each row can be decoded on its own.
 */
-export const backendLimitRows = ({
+export const encodeBackendLimitRows = ({
 	limits,
 }: BackendLimitMessage): readonly Row[] =>
 	limits.map(({incarnationId, perSecond, earliestAgoMs, latestAgoMs}) => [
 		incarnationId,
-		perSecond ?? ended,
+		perSecond ?? noLimit,
 		Math.round(earliestAgoMs),
 		Math.round(latestAgoMs),
 	]);
 
 /**
-Reads rows; throws where they are of another form.
+Decodes rows.
+
+@throws {TypeError} If a row is malformed.
 */
-export const readBackendLimitRows = (
+export const decodeBackendLimitRows = (
 	from: string,
 	rows: readonly Row[],
 ): BackendLimitMessage => ({
@@ -60,10 +66,11 @@
 	from,
 	limits: rows.map(
 		([incarnationId, perSecond, earliestAgoMs, latestAgoMs]) => ({
-			incarnationId: checkText(incarnationId),
-			perSecond: perSecond === ended ? undefined : checkCount(perSecond),
-			earliestAgoMs: checkCount(earliestAgoMs),
-			latestAgoMs: checkCount(latestAgoMs),
+			incarnationId: checkString(incarnationId),
+			perSecond:
+				perSecond === noLimit ? undefined : checkNonNegative(perSecond),
+			earliestAgoMs: checkNonNegative(earliestAgoMs),
+			latestAgoMs: checkNonNegative(latestAgoMs),
 		}),
 	),
 });
--- a/src/peers/forward-call.ts
+++ b/src/peers/forward-call.ts
@@ -2,14 +2,15 @@
 import type {Labels} from '../policies/index.ts';
 
 /**
- A request as one node passes it to another.
+ A request as one node forwards it to another.
  
- It is the only node-to-node hop of its request: whoever receives one answers it from
- its own zone or refuses it, and has no way to send it on.
+ A request makes at most one hop between nodes: the receiver serves it from its own zone
+ or refuses it, and cannot forward it again.
  */
 export type ForwardCall = {
 	/**
-	`serve`: run it on a backend server of the receiver's zone. `redeem`: the receiver holds its permit.
+	`serve`: the receiver runs the request on a backend server in its zone. `redeem`: the receiver issued the permit of
+	the request.
 	*/
 	readonly purpose: 'serve' | 'redeem';
 	readonly requestId: string;
@@ -36,7 +37,7 @@
 };
 
 /**
-A forwarded request with who sent it.
+The metadata of a forwarded request and of the node that sent it.
 */
 export type ForwardEnvelope = Omit<ForwardCall, 'body'> & {
 	readonly origin: string;
--- a/src/peers/heartbeat-codec.ts
+++ b/src/peers/heartbeat-codec.ts
@@ -15,35 +15,35 @@
 import {sealBytes, type Sealer} from './seal.ts';
 import {
 	checkChoice,
-	checkList,
+	checkArray,
 	checkNumber,
 	checkRecord,
-	checkText,
+	checkString,
 } from './tuple-checks.ts';
 
 /**
-A heartbeat as it travels: a membership message with soft state beside it.
+A heartbeat datagram: a membership message with piggybacked soft state.
 */
 export type Heartbeat = {
 	readonly message: MembershipMessage;
 	/**
-	The configuration that the sender has in force.
+	Identifies the active configuration of the sender.
 	*/
 	readonly stamp: ConfigurationStamp;
 	readonly digests: readonly DigestEntry[];
 };
 
 /**
-Turns heartbeats into sealed datagrams and back.
+Encodes heartbeats as sealed datagrams and decodes them.
 */
 export type HeartbeatCodec = {
 	encode(heartbeat: Heartbeat): Buffer;
 	/**
-	Undefined for anything that is not a sealed heartbeat of this format.
+	Returns undefined for any datagram that is not a sealed heartbeat in this format.
 	*/
 	decode(datagram: Buffer): Heartbeat | undefined;
 	/**
-	Size of an entry on the wire, in bytes.
+	Returns the encoded size of an entry, in bytes.
 	*/
 	sizeOf(entry: DigestEntry): number;
 };
@@ -58,7 +58,7 @@
 const scopes: readonly DigestScope[] = ['availability-zone', 'everywhere'];
 const messageKinds = ['ping', 'acknowledge', 'ping-request'] as const;
 
-// The fields of each kind in their order on the wire; the order is part of the format.
+// The fields of each kind in wire order; the order is part of the format.
 const valueFields = {
 	loads: ['node', 'reports'],
 	'in-flight': ['node', 'counts'],
@@ -67,7 +67,7 @@
 	demand: ['holder', 'availabilityZone', 'rates'],
 } as const satisfies Readonly<Record<DigestValue['kind'], readonly string[]>>;
 
-// Fields that hold a record; all others hold a text.
+// Fields that hold a record; all others hold a string.
 const recordFields: ReadonlySet<string> = new Set([
 	'counts',
 	'services',
@@ -81,7 +81,7 @@
 type Tuple = readonly unknown[];
 
 /**
-Builds a codec whose datagrams carry a seal.
+Creates a codec that seals each datagram.
 */
 export const createHeartbeatCodec = (sealer: Sealer): HeartbeatCodec => {
 	const packr = new Packr({useRecords: false, variableMapSize: true});
@@ -126,12 +126,12 @@
 ];
 
 const decodeMember = (value: unknown): Member => {
-	const tuple = checkList(value);
+	const tuple = checkArray(value);
 	return {
-		id: checkText(tuple[0]),
-		availabilityZone: checkText(tuple[1]),
-		peerAddress: checkText(tuple[2]),
-		callerAddress: checkText(tuple[3]),
+		id: checkString(tuple[0]),
+		availabilityZone: checkString(tuple[1]),
+		peerAddress: checkString(tuple[2]),
+		callerAddress: checkString(tuple[3]),
 		incarnation: checkNumber(tuple[4]),
 		revision: checkNumber(tuple[5]),
 		status: checkChoice(statuses, tuple[6]),
@@ -144,7 +144,7 @@
 	entry.counter,
 	entry.ageMs,
 	scopes.indexOf(entry.scope),
-	// An entry of one zone travels in that zone only, so its name need not.
+	// An entry with zone scope is sent only within its zone, so the zone name is omitted.
 	entry.scope === 'everywhere' ? entry.availabilityZone : '',
 	valueKinds.indexOf(entry.value.kind),
 	encodeValue(entry.value),
@@ -166,13 +166,13 @@
 ];
 
 const decodeLoad = (value: unknown): ServerLoad => {
-	const tuple = checkList(value);
+	const tuple = checkArray(value);
 	return {
-		backendServer: checkText(tuple[0]),
+		backendServer: checkString(tuple[0]),
 		running: checkNumber(tuple[1]),
 		queued: checkNumber(tuple[2]),
 		slots: checkNumber(tuple[3]),
-		incarnation: checkText(tuple[4]),
+		incarnation: checkString(tuple[4]),
 	};
 };
 
@@ -180,8 +180,8 @@
 	if (kind === 'loads') {
 		return {
 			kind,
-			node: checkText(values[0]),
-			reports: checkList(values[1]).map((report) => decodeLoad(report)),
+			node: checkString(values[0]),
+			reports: checkArray(values[1]).map((report) => decodeLoad(report)),
 		};
 	}
 
@@ -189,28 +189,29 @@
 		field,
 		recordFields.has(field)
 			? checkRecord(values[index])
-			: checkText(values[index]),
+			: checkString(values[index]),
 	]);
 	const value: unknown = {kind, ...Object.fromEntries(fields)};
 	return value as DigestValue;
 };
 
 const decodeEntry = (value: unknown, senderZone: string): DigestEntry => {
-	const tuple = checkList(value);
+	const tuple = checkArray(value);
 	const scope = checkChoice(scopes, tuple[4]);
 	return {
-		reporter: checkText(tuple[0]),
+		reporter: checkString(tuple[0]),
 		incarnation: checkNumber(tuple[1]),
 		counter: checkNumber(tuple[2]),
 		ageMs: checkNumber(tuple[3]),
 		scope,
-		availabilityZone: scope === 'everywhere' ? checkText(tuple[5]) : senderZone,
-		value: decodeValue(checkChoice(valueKinds, tuple[6]), checkList(tuple[7])),
+		availabilityZone:
+			scope === 'everywhere' ? checkString(tuple[5]) : senderZone,
+		value: decodeValue(checkChoice(valueKinds, tuple[6]), checkArray(tuple[7])),
 	};
 };
 
 const decodeHeartbeat = (value: unknown): Heartbeat | undefined => {
-	const tuple = checkList(value);
+	const tuple = checkArray(value);
 	if (tuple[0] !== formatVersion) {
 		return undefined;
 	}
@@ -219,17 +220,17 @@
 	const common = {
 		sequence: checkNumber(tuple[2]),
 		from: decodeMember(tuple[3]),
-		updates: checkList(tuple[4]).map((member) => decodeMember(member)),
+		updates: checkArray(tuple[4]).map((member) => decodeMember(member)),
 	};
 	const message: MembershipMessage =
 		kind === 'ping-request'
-			? {kind, ...common, target: checkText(tuple[5])}
+			? {kind, ...common, target: checkString(tuple[5])}
 			: {kind, ...common};
-	const [version, digest] = checkList(tuple[7]);
+	const [version, digest] = checkArray(tuple[7]);
 	return {
 		message,
-		stamp: {version: checkNumber(version), digest: checkText(digest)},
-		digests: checkList(tuple[6]).map((entry) =>
+		stamp: {version: checkNumber(version), digest: checkString(digest)},
+		digests: checkArray(tuple[6]).map((entry) =>
 			decodeEntry(entry, common.from.availabilityZone),
 		),
 	};
--- a/src/peers/heartbeat-socket.ts
+++ b/src/peers/heartbeat-socket.ts
@@ -3,19 +3,19 @@
 import {splitAddress, type Address} from '../shared/index.ts';
 
 /**
-Sends and receives datagrams.
+A UDP socket that sends and receives heartbeat datagrams.
 */
 export type HeartbeatSocket = {
 	send(to: Address, datagram: Buffer): void;
 	/**
-	Datagrams and bytes sent and received so far.
+	Returns the numbers of datagrams and bytes sent and received since the socket was opened.
 	*/
 	counts(): SocketCounts;
 	close(): Promise<void>;
 };
 
 /**
-What went over a socket.
+Traffic counters of a socket.
 */
 export type SocketCounts = {
 	readonly sent: number;
@@ -25,7 +25,7 @@
 };
 
 /**
-Opens a UDP socket at an address.
+Opens a UDP socket bound to an address.
 */
 export const openHeartbeatSocket = async (
 	address: Address,
@@ -43,7 +43,7 @@
 		socket.once('error', reject);
 		socket.bind(port, host, resolve);
 	});
-	// A datagram that cannot be sent is as good as lost; the failure detector covers it.
+	// A datagram that cannot be sent is treated as lost; the failure detector tolerates losses.
 	socket.on('error', () => undefined);
 
 	return {
--- a/src/peers/leaving-messages.ts
+++ b/src/peers/leaving-messages.ts
@@ -1,4 +1,4 @@
-import {checkText} from './tuple-checks.ts';
+import {checkString} from './tuple-checks.ts';
 
 /**
 A backend server that announced its shutdown.
@@ -6,18 +6,18 @@
 export type LeavingServer = {
 	readonly server: string;
 	/**
-	Names the life of the server.
+	Identifies one incarnation of the server.
 	*/
 	readonly incarnationId: string;
 };
 
 /**
-What a node tells the others of its region of announced shutdowns.
+Shutdowns that backend servers announced, as sent to the other nodes of the sender's region.
 */
 export type ServerLeavingMessage = {
 	readonly kind: 'servers-leaving';
 	/**
-	Id of the node that tells.
+	Id of the sending node.
 	*/
 	readonly from: string;
 	readonly servers: readonly LeavingServer[];
@@ -26,24 +26,26 @@
 type Row = readonly unknown[];
 
 /**
-The rows of a message, one a server; each can be read alone.
+Encodes a message as one row per server; each row can be decoded on its own.
 */
-export const serverLeavingRows = ({
+export const encodeServerLeavingRows = ({
 	servers,
 }: ServerLeavingMessage): readonly Row[] =>
 	servers.map(({server, incarnationId}) => [server, incarnationId]);
 
 /**
-Reads rows; throws where they are of another form.
+Decodes rows.
+
+@throws {TypeError} If a row is malformed.
 */
-export const readServerLeavingRows = (
+export const decodeServerLeavingRows = (
 	from: string,
 	rows: readonly Row[],
 ): ServerLeavingMessage => ({
 	kind: 'servers-leaving',
 	from,
 	servers: rows.map(([server, incarnationId]) => ({
-		server: checkText(server),
-		incarnationId: checkText(incarnationId),
+		server: checkString(server),
+		incarnationId: checkString(incarnationId),
 	})),
 });
--- a/src/peers/peer-calls.ts
+++ b/src/peers/peer-calls.ts
@@ -24,7 +24,7 @@
 import type {Sealer} from './seal.ts';
 
 /**
-Calls to other nodes.
+Client for calls to other nodes.
 */
 export type PeerCalls = {
 	readState(
@@ -34,7 +34,7 @@
 	readConfiguration(peer: Address): Promise<Result<string | undefined, string>>;
 	readReport(peer: Address): Promise<Result<NodeReport, string>>;
 	/**
-	Passes a request to a node in another zone, or to the node that holds its permit.
+	Forwards a request to a node in another zone, or to the node that issued its permit.
 	*/
 	forward(
 		member: Member,
@@ -46,7 +46,7 @@
 };
 
 /**
-What peer calls are built from.
+Options of `createPeerCalls`.
 */
 export type PeerCallOptions = {
 	readonly self: () => Member;
@@ -56,22 +56,22 @@
 };
 
 /**
-Header with the sealed description of a forwarded request.
+Header with the sealed metadata of a forwarded request.
 */
 export const envelopeHeader = 'x-quillford-envelope';
 
 /**
-Header with the seal.
+Header with the seal that authenticates a call.
 */
 export const sealHeader = 'x-quillford-seal';
 
 /**
-Header that names the kind of error with which a node refused a forwarded request.
+Header with the error kind of a refused forwarded request.
 */
 export const refusalHeader = 'x-quillford-refusal';
 
 /**
-What is sealed to prove that a typed call comes from a node.
+Text whose seal proves that a typed call comes from a node of this system.
 */
 export const callToken = 'quillford-peer-call';
 
@@ -79,7 +79,7 @@
 const callTimeoutMs = 2000;
 
 /**
-Builds the calls of one node.
+Creates the client with which one node calls other nodes.
 */
 export const createPeerCalls = (options: PeerCallOptions): PeerCalls => {
 	const dispatcher = new Agent({
@@ -108,7 +108,7 @@
 			],
 		});
 
-	const attemptCall = async <Value>(
+	const toResult = async <Value>(
 		call: () => Promise<Value>,
 	): Promise<Result<Value, string>> => {
 		try {
@@ -120,17 +120,17 @@
 
 	return {
 		readState: async (peer, availabilityZone) =>
-			attemptCall(
+			toResult(
 				async () =>
 					clientFor(peer).state.query({availabilityZone}) as Promise<PeerState>,
 			),
 		readConfiguration: async (peer) =>
-			attemptCall(async () => {
+			toResult(async () => {
 				const {text} = await clientFor(peer).configuration.query();
 				return text;
 			}),
 		readReport: async (peer) =>
-			attemptCall(
+			toResult(
 				async () => clientFor(peer).report.query() as Promise<NodeReport>,
 			),
 		async forward(member, call, _cleared, signal) {
@@ -160,7 +160,7 @@
 						signal,
 					},
 				);
-				return await judgeAnswer(
+				return await checkAnswer(
 					answer.statusCode,
 					answer.headers,
 					answer.body,
@@ -176,7 +176,7 @@
 
 type AnswerBody = Readable & {json(): Promise<unknown>};
 
-const judgeAnswer = async (
+const checkAnswer = async (
 	status: number,
 	headers: UpstreamAnswer['headers'],
 	body: AnswerBody,
@@ -185,7 +185,9 @@
 	const refusal = headers[refusalHeader];
 	if (typeof refusal === 'string') {
 		const isNotRun = headers[notRunHeader] !== undefined;
-		return Result.err(refusalOf(refusal, isNotRun, await messageOf(body)));
+		return Result.err(
+			refusalFailure(refusal, isNotRun, await readErrorMessage(body)),
+		);
 	}
 
 	if (headers[attemptHeader] !== attemptId) {
@@ -203,7 +205,7 @@
 	return Result.ok({status, headers, body});
 };
 
-const messageOf = async (body: AnswerBody): Promise<string> => {
+const readErrorMessage = async (body: AnswerBody): Promise<string> => {
 	try {
 		const {error} = (await body.json()) as {
 			readonly error?: {readonly message?: string};
@@ -214,7 +216,7 @@
 	}
 };
 
-const refusalOf = (
+const refusalFailure = (
 	refusal: string,
 	isNotRun: boolean,
 	message: string,
--- a/src/peers/peer-message-codec.ts
+++ b/src/peers/peer-message-codec.ts
@@ -2,52 +2,57 @@
 import {Packr} from 'msgpackr';
 import {
 	quarantineMessageKinds,
-	quarantineRows,
-	readQuarantineRows,
+	encodeQuarantineRows,
+	decodeQuarantineRows,
 	type QuarantineMessage,
 } from './quarantine-messages.ts';
 import {sealBytes, type Sealer} from './seal.ts';
 import {
-	readBackendLimitRows,
-	backendLimitRows,
+	decodeBackendLimitRows,
+	encodeBackendLimitRows,
 	type BackendLimitMessage,
 } from './backend-limit-messages.ts';
 import {
-	readServerLeavingRows,
-	serverLeavingRows,
+	decodeServerLeavingRows,
+	encodeServerLeavingRows,
 	type ServerLeavingMessage,
 } from './leaving-messages.ts';
-import {checkChoice, checkCount, checkList, checkText} from './tuple-checks.ts';
 import {
-	readUsage,
+	checkChoice,
+	checkNonNegative,
+	checkArray,
+	checkString,
+} from './tuple-checks.ts';
+import {
+	decodeUsageMessage,
 	usageMessageKinds,
 	usageFraction,
-	usageRows,
+	encodeUsageRows,
 	type UsageMessage,
 } from './usage-messages.ts';
 
 /**
-What a node tells the others of its region of one backend server.
+The prefill backlog that one node has placed on a backend server, as sent to the other nodes of its region.
 */
 export type PrefillBacklogMessage = {
 	readonly kind: 'reading';
 	/**
-	One life of the node that tells.
+	Identifies one incarnation of the sending node.
 	*/
 	readonly from: string;
 	readonly server: string;
 	/**
-	Tokens of long prompts that it sent there and that have not begun to be answered.
+	Tokens of long prompts that the node sent to the server and whose answers have not begun.
 	*/
 	readonly tokens: number;
 	/**
-	Rises with each message of the node.
+	Increases with each message of the node.
 	*/
 	readonly sequence: number;
 };
 
 /**
-What nodes tell each other beside heartbeats.
+Messages that nodes exchange in addition to heartbeats.
 */
 export type PeerMessage =
 	| UsageMessage
@@ -57,32 +62,32 @@
 	| ServerLeavingMessage;
 
 /**
-Turns messages between nodes into sealed datagrams and back.
+Encodes messages between nodes as sealed datagrams and decodes them.
 */
 export type PeerMessageCodec = {
 	/**
-	One datagram or more; each can be read alone.
+	Returns one or more datagrams; each can be decoded on its own.
 	*/
 	encode(message: PeerMessage): readonly Buffer[];
 	/**
-	Undefined for anything that is not a sealed message of this format.
+	Returns undefined for any datagram that is not a sealed message in this format.
 	*/
 	decode(datagram: Buffer): PeerMessage | undefined;
 };
 
 /**
-Requests at crashed servers in one datagram at the most: with names of 24 letters some 55 bytes each, so that it stays
-below the usual size of a packet.
+Maximum number of runs on crashed servers per datagram. A run takes about 55 bytes with names of 24 characters, so that a
+datagram fits into one packet of the usual size.
 */
-export const runsPerDatagram = 20;
+export const maximumRunsPerDatagram = 20;
 
 /**
-Accounts in one datagram at the most: with names of 16 letters some 30 to 40 bytes each, so that it stays below the usual
-size of a packet.
+Maximum number of rows of any other kind per datagram. The row of an account takes 30 to 40 bytes with names of 16
+characters, so that a datagram fits into one packet of the usual size.
 */
-export const accountsPerDatagram = 30;
+export const maximumRowsPerDatagram = 30;
 
-// Heartbeats come to the same socket and have another number.
+// Differs from the format version of heartbeats, which arrive on the same socket.
 const formatVersion = 2;
 const messageKinds = [
 	...usageMessageKinds,
@@ -95,7 +100,7 @@
 type Row = readonly unknown[];
 
 /**
-Builds a codec whose datagrams carry a seal.
+Creates a codec that seals each datagram.
 */
 export const createPeerMessageCodec = (sealer: Sealer): PeerMessageCodec => {
 	const packr = new Packr({useRecords: false});
@@ -106,7 +111,7 @@
 			messageKinds.indexOf(message.kind),
 			message.from,
 			rows,
-			partOf(message),
+			fractionOf(message),
 		]);
 		return Buffer.concat([sealer.seal(body), body]);
 	};
@@ -114,12 +119,18 @@
 	return {
 		encode(message) {
 			const rows = rowsOf(message);
-			const most =
-				message.kind === 'crashes' ? runsPerDatagram : accountsPerDatagram;
+			const maximumRows =
+				message.kind === 'crashes'
+					? maximumRunsPerDatagram
+					: maximumRowsPerDatagram;
 			const datagrams: Buffer[] = [];
-			for (let first = 0; first === 0 || first < rows.length; first += most) {
-				const part = rows.slice(first, first + most);
-				datagrams.push(seal(message, part));
+			for (
+				let first = 0;
+				first === 0 || first < rows.length;
+				first += maximumRows
+			) {
+				const chunk = rows.slice(first, first + maximumRows);
+				datagrams.push(seal(message, chunk));
 			}
 
 			return datagrams;
@@ -148,26 +159,26 @@
 		case 'node':
 		case 'zone':
 		case 'totals': {
-			return usageRows(message);
+			return encodeUsageRows(message);
 		}
 
 		case 'crashes':
 		case 'quarantine':
 		case 'served': {
-			return quarantineRows(message);
+			return encodeQuarantineRows(message);
 		}
 
 		case 'backend-limits': {
-			return backendLimitRows(message);
+			return encodeBackendLimitRows(message);
 		}
 
 		case 'servers-leaving': {
-			return serverLeavingRows(message);
+			return encodeServerLeavingRows(message);
 		}
 	}
 };
 
-const partOf = (message: PeerMessage): number => {
+const fractionOf = (message: PeerMessage): number => {
 	switch (message.kind) {
 		case 'node':
 		case 'zone':
@@ -187,45 +198,48 @@
 };
 
 const decodeMessage = (value: unknown): PeerMessage | undefined => {
-	const [version, kindIndex, sender, list, part] = checkList(value);
+	const [version, kindIndex, sender, list, fraction] = checkArray(value);
 	if (version !== formatVersion) {
 		return undefined;
 	}
 
 	const kind = checkChoice(messageKinds, kindIndex);
-	const from = checkText(sender);
-	const rows = checkList(list).map((row) => checkList(row));
+	const from = checkString(sender);
+	const rows = checkArray(list).map((row) => checkArray(row));
 	switch (kind) {
 		case 'reading': {
-			return decodeReading(from, checkList(rows[0]));
+			return decodePrefillBacklog(from, checkArray(rows[0]));
 		}
 
 		case 'node':
 		case 'zone':
 		case 'totals': {
-			return readUsage(kind, from, rows, part);
+			return decodeUsageMessage(kind, from, rows, fraction);
 		}
 
 		case 'crashes':
 		case 'quarantine':
 		case 'served': {
-			return readQuarantineRows(kind, from, rows);
+			return decodeQuarantineRows(kind, from, rows);
 		}
 
 		case 'backend-limits': {
-			return readBackendLimitRows(from, rows);
+			return decodeBackendLimitRows(from, rows);
 		}
 
 		case 'servers-leaving': {
-			return readServerLeavingRows(from, rows);
+			return decodeServerLeavingRows(from, rows);
 		}
 	}
 };
 
-const decodeReading = (from: string, row: Row): PrefillBacklogMessage => ({
+const decodePrefillBacklog = (
+	from: string,
+	row: Row,
+): PrefillBacklogMessage => ({
 	kind: 'reading',
 	from,
-	server: checkText(row[0]),
-	tokens: checkCount(row[1]),
-	sequence: checkCount(row[2]),
+	server: checkString(row[0]),
+	tokens: checkNonNegative(row[1]),
+	sequence: checkNonNegative(row[2]),
 });
--- a/src/peers/peer-message-sender.ts
+++ b/src/peers/peer-message-sender.ts
@@ -4,7 +4,7 @@
 import type {PeerMessage, PeerMessageCodec} from './peer-message-codec.ts';
 
 /**
-Tells nodes something; what is lost on the way is not sent again.
+Sends a message to other nodes. Delivery is best effort: lost datagrams are not sent again.
 */
 export type PeerMessageSender = (
 	members: readonly Member[],
@@ -12,9 +12,9 @@
 ) => void;
 
 /**
-Builds a teller.
+Creates a message sender.
 
-@param codec What messages are encoded with, once for all nodes that are told.
+@param codec Encodes each message once for all recipients.
 @param send Sends one datagram.
 */
 export const createPeerMessageSender =
--- a/src/peers/peer-router.ts
+++ b/src/peers/peer-router.ts
@@ -6,7 +6,7 @@
 import type {NodeReport} from '../reporting/index.ts';
 
 /**
-What a node that joins or wakes asks of another.
+State that a node requests from a peer when it joins or resumes after a pause.
 */
 export type PeerState = {
 	readonly members: readonly Member[];
@@ -15,19 +15,19 @@
 };
 
 /**
-Answers the calls of other nodes.
+Handlers for the calls of other nodes.
 */
-export type PeerAnswers = {
+export type PeerCallHandlers = {
 	state(availabilityZone: string): PeerState;
 	/**
-	The text of the configuration in force, or undefined before the first.
+	Returns the text of the active configuration, or undefined before the first configuration.
 	*/
 	configuration(): string | undefined;
 	report(): NodeReport;
 };
 
 /**
-What each call carries besides its input.
+Context of each call.
 */
 export type PeerContext = {readonly isPeer: boolean};
 
@@ -37,7 +37,7 @@
 	if (!ctx.isPeer) {
 		throw new TRPCError({
 			code: 'UNAUTHORIZED',
-			message: 'The peer key is missing or wrong',
+			message: 'The peer key is missing or invalid',
 		});
 	}
 
@@ -45,18 +45,20 @@
 });
 
 /**
-Builds the typed calls between nodes; all of them only read.
+Creates the router for typed calls between nodes. All calls are read-only.
 */
-export const createPeerRouter = (answers: PeerAnswers) =>
+export const createPeerRouter = (handlers: PeerCallHandlers) =>
 	trpc.router({
 		state: peerProcedure
 			.input(z.object({availabilityZone: z.string()}))
-			.query(({input}) => answers.state(input.availabilityZone)),
-		configuration: peerProcedure.query(() => ({text: answers.configuration()})),
-		report: peerProcedure.query(() => answers.report()),
+			.query(({input}) => handlers.state(input.availabilityZone)),
+		configuration: peerProcedure.query(() => ({
+			text: handlers.configuration(),
+		})),
+		report: peerProcedure.query(() => handlers.report()),
 	});
 
 /**
-The type of the calls, from which clients are derived.
+The router type from which clients derive the types of their calls.
 */
 export type PeerRouter = ReturnType<typeof createPeerRouter>;
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -6,14 +6,14 @@
 import {callToken, envelopeHeader, sealHeader} from './peer-calls.ts';
 import {
 	createPeerRouter,
-	type PeerAnswers,
+	type PeerCallHandlers,
 	type PeerContext,
 	type PeerRouter,
 } from './peer-router.ts';
 import type {Sealer} from './seal.ts';
 
 /**
-A forwarded request as it reaches this node; without an envelope it was not sealed by a peer.
+A forwarded request as received by this node. The envelope is undefined if it carries no valid seal of a peer.
 */
 export type ForwardedRequest = {
 	readonly envelope: ForwardEnvelope | undefined;
@@ -22,23 +22,23 @@
 };
 
 /**
-What a peer server is built from.
+Options of `startPeerServer`.
 */
 export type PeerServerOptions = {
 	readonly address: Address;
 	readonly sealer: Sealer;
-	readonly answers: PeerAnswers;
+	readonly handlers: PeerCallHandlers;
 	readonly maximumBodyBytes: number;
 	readonly onForward: (forwarded: ForwardedRequest) => Promise<void>;
 };
 
 /**
-Answers other nodes over TCP.
+An HTTP server that answers the calls of other nodes.
 */
 export type PeerServer = {close(): Promise<void>};
 
 /**
-Starts the server for calls of other nodes.
+Starts the server for the calls of other nodes.
 */
 export const startPeerServer = async (
 	options: PeerServerOptions,
@@ -53,16 +53,16 @@
 	}: {
 		readonly req: FastifyRequest;
 	}): PeerContext => {
-		const given = Buffer.from(
+		const seal = Buffer.from(
 			String(req.headers[sealHeader] ?? ''),
 			'base64url',
 		);
-		return {isPeer: given.equals(token)};
+		return {isPeer: seal.equals(token)};
 	};
 
 	await server.register(fastifyTRPCPlugin<PeerRouter>, {
 		prefix: '/trpc',
-		trpcOptions: {router: createPeerRouter(options.answers), createContext},
+		trpcOptions: {router: createPeerRouter(options.handlers), createContext},
 	});
 	server.addContentTypeParser(
 		'application/octet-stream',
--- a/src/peers/quarantine-messages.ts
+++ b/src/peers/quarantine-messages.ts
@@ -1,44 +1,44 @@
-import {checkCount, checkList, checkText} from './tuple-checks.ts';
+import {checkNonNegative, checkArray, checkString} from './tuple-checks.ts';
 
 /**
-What a node saw of one request at one backend server that crashed.
+One run of a request on a backend server that crashed, as seen by one node.
 */
 export type CrashUpdate = {
 	/**
-	Names the life of the server that ended.
+	Identifies the incarnation of the server that crashed.
 	*/
 	readonly incarnationId: string;
 	/**
-	Milliseconds since the server ended.
+	Milliseconds since the server crashed.
 	*/
 	readonly agoMs: number;
 	readonly fingerprint: string;
 	/**
-	Milliseconds since the request was sent there.
+	Milliseconds since the request was sent to the server.
 	*/
 	readonly sentAgoMs: number;
 };
 
 /**
-A request in quarantine, as one node tells another.
+A request in quarantine, as sent between nodes.
 */
 export type QuarantineUpdate = {
 	readonly fingerprint: string;
 	/**
-	Milliseconds that are left of the quarantine.
+	Remaining time of the quarantine, in milliseconds.
 	*/
 	readonly leftMs: number;
 	readonly level: number;
 };
 
 /**
-What nodes tell each other of requests that crash backend servers. Times are told as ages, for clocks differ.
+Messages about requests that crash backend servers. Times are sent as ages because the clocks of nodes differ.
 */
 export type QuarantineMessage =
 	| {
 			readonly kind: 'crashes';
 			/**
-			Id of the node that tells.
+			Id of the sending node.
 			*/
 			readonly from: string;
 			readonly runs: readonly CrashUpdate[];
@@ -49,7 +49,7 @@
 			readonly entries: readonly QuarantineUpdate[];
 	  }
 	/**
-	Requests that were answered whole though they had been at crashes.
+	Requests that were running on servers that crashed, but have since been answered completely.
 	*/
 	| {
 			readonly kind: 'served';
@@ -58,7 +58,7 @@
 	  };
 
 /**
-Kinds of these messages, in the order of their numbers.
+Kinds of these messages, in the order of their indices on the wire.
 */
 export const quarantineMessageKinds = [
 	'crashes',
@@ -69,9 +69,11 @@
 type Row = readonly unknown[];
 
 /**
-The rows of a message; each can be read alone.
+Encodes a message as rows; each row can be decoded on its own.
 */
-export const quarantineRows = (message: QuarantineMessage): readonly Row[] => {
+export const encodeQuarantineRows = (
+	message: QuarantineMessage,
+): readonly Row[] => {
 	switch (message.kind) {
 		case 'crashes': {
 			return message.runs.map(
@@ -99,9 +101,11 @@
 };
 
 /**
-Reads rows; throws where they are of another form.
+Decodes rows.
+
+@throws {TypeError} If a row is malformed.
 */
-export const readQuarantineRows = (
+export const decodeQuarantineRows = (
 	kind: QuarantineMessage['kind'],
 	from: string,
 	rows: readonly Row[],
@@ -110,10 +114,10 @@
 		case 'crashes': {
 			const runs = rows.map(
 				([incarnationId, agoMs, fingerprint, sentAgoMs]) => ({
-					incarnationId: checkText(incarnationId),
-					agoMs: checkCount(agoMs),
-					fingerprint: checkText(fingerprint),
-					sentAgoMs: checkCount(sentAgoMs),
+					incarnationId: checkString(incarnationId),
+					agoMs: checkNonNegative(agoMs),
+					fingerprint: checkString(fingerprint),
+					sentAgoMs: checkNonNegative(sentAgoMs),
 				}),
 			);
 			return {kind, from, runs};
@@ -121,15 +125,15 @@
 
 		case 'quarantine': {
 			const entries = rows.map(([fingerprint, leftMs, level]) => ({
-				fingerprint: checkText(fingerprint),
-				leftMs: checkCount(leftMs),
-				level: checkCount(level),
+				fingerprint: checkString(fingerprint),
+				leftMs: checkNonNegative(leftMs),
+				level: checkNonNegative(level),
 			}));
 			return {kind, from, entries};
 		}
 
 		case 'served': {
-			const fingerprints = rows.map((row) => checkText(checkList(row)[0]));
+			const fingerprints = rows.map((row) => checkString(checkArray(row)[0]));
 			return {kind, from, fingerprints};
 		}
 	}
--- a/src/peers/tuple-checks.ts
+++ b/src/peers/tuple-checks.ts
@@ -1,57 +1,57 @@
 /**
-Checks on parts of a decoded datagram; each returns the value or throws a `TypeError`, by which the
-datagram is left out as a whole.
+Checks on parts of a decoded datagram. Each check returns the value or throws a `TypeError`, which makes the decoder
+discard the whole datagram.
 */
 
 /**
-A text.
+Checks that a value is a string.
 */
-export const checkText = (value: unknown): string => {
+export const checkString = (value: unknown): string => {
 	if (typeof value !== 'string') {
-		throw new TypeError('not a text');
+		throw new TypeError('expected a string');
 	}
 
 	return value;
 };
 
 /**
-A finite number.
+Checks that a value is a finite number or converts to one.
 */
 export const checkNumber = (value: unknown): number => {
 	const number = Number(value);
 	if (typeof value === 'object' || !Number.isFinite(number)) {
-		throw new TypeError('not a number');
+		throw new TypeError('expected a finite number');
 	}
 
 	return number;
 };
 
 /**
-A list.
+Checks that a value is an array.
 */
-export const checkList = (value: unknown): readonly unknown[] => {
+export const checkArray = (value: unknown): readonly unknown[] => {
 	if (!Array.isArray(value)) {
-		throw new TypeError('not a list');
+		throw new TypeError('expected an array');
 	}
 
 	return value as readonly unknown[];
 };
 
 /**
-An object that is no list.
+Checks that a value is an object other than an array.
 */
 export const checkRecord = (
 	value: unknown,
 ): Readonly<Record<string, unknown>> => {
 	if (typeof value !== 'object' || value === null || Array.isArray(value)) {
-		throw new TypeError('not a record');
+		throw new TypeError('expected an object');
 	}
 
 	return value as Readonly<Record<string, unknown>>;
 };
 
 /**
-One of some choices, by its place among them.
+Returns the choice at an index.
 */
 export const checkChoice = <Choice>(
 	choices: readonly Choice[],
@@ -62,19 +62,19 @@
 			? choices[value]
 			: undefined;
 	if (choice === undefined) {
-		throw new TypeError('not one of the choices');
+		throw new TypeError('expected the index of a choice');
 	}
 
 	return choice;
 };
 
 /**
-A number that is not less than nothing; throws for anything else.
+Checks that a value is a finite number of at least zero.
 */
-export const checkCount = (value: unknown): number => {
+export const checkNonNegative = (value: unknown): number => {
 	const count = checkNumber(value);
 	if (count < 0) {
-		throw new TypeError('less than nothing');
+		throw new TypeError('expected a non-negative number');
 	}
 
 	return count;
--- a/src/peers/usage-messages.ts
+++ b/src/peers/usage-messages.ts
@@ -4,16 +4,16 @@
 	LimitTotals,
 	ZoneUsage,
 } from '../limits/index.ts';
-import {checkCount, checkText} from './tuple-checks.ts';
+import {checkNonNegative, checkString} from './tuple-checks.ts';
 
 /**
-What nodes tell each other of the usage of client accounts.
+Messages about the usage of client accounts.
 */
 export type UsageMessage =
 	| {
 			readonly kind: 'node';
 			/**
-			One life of the node that tells its own usage.
+			Identifies one incarnation of the node that reports its own usage.
 			*/
 			readonly from: string;
 			readonly usages: readonly AccountUsage[];
@@ -21,7 +21,7 @@
 	| {
 			readonly kind: 'zone';
 			/**
-			The availability zone whose sum it is.
+			The availability zone whose total usage is reported.
 			*/
 			readonly from: string;
 			readonly usage: ZoneUsage;
@@ -29,14 +29,14 @@
 	| {
 			readonly kind: 'totals';
 			/**
-			Id of the node that adds up.
+			Id of the node that computed the totals.
 			*/
 			readonly from: string;
 			readonly totals: LimitTotals;
 	  };
 
 /**
-Kinds of these messages, in the order of their numbers.
+Kinds of these messages, in the order of their indices on the wire.
 */
 export const usageMessageKinds = [
 	'node',
@@ -47,16 +47,16 @@
 type Row = readonly unknown[];
 
 /**
-The rows of a message, one an account; each can be read alone.
+Encodes a message as one row per account; each row can be decoded on its own.
 */
-export const usageRows = (message: UsageMessage): readonly Row[] => {
+export const encodeUsageRows = (message: UsageMessage): readonly Row[] => {
 	switch (message.kind) {
 		case 'node': {
-			return message.usages.map((usage) => rowOf(usage));
+			return message.usages.map((usage) => encodeUsage(usage));
 		}
 
 		case 'zone': {
-			return message.usage.usages.map((usage) => rowOf(usage));
+			return message.usage.usages.map((usage) => encodeUsage(usage));
 		}
 
 		case 'totals': {
@@ -73,7 +73,7 @@
 };
 
 /**
-What part of the nodes, or of the limits, a message is of, from 0 to 1.
+Returns the fraction of the nodes, or of the limits, that a message covers, from 0 to 1.
 */
 export const usageFraction = (message: UsageMessage): number => {
 	switch (message.kind) {
@@ -92,13 +92,15 @@
 };
 
 /**
-Reads a message; throws where it is of another form.
+Decodes a message.
+
+@throws {TypeError} If a row or the fraction is malformed.
 */
-export const readUsage = (
+export const decodeUsageMessage = (
 	kind: UsageMessage['kind'],
 	from: string,
 	rows: readonly Row[],
-	part: unknown,
+	fraction: unknown,
 ): UsageMessage => {
 	switch (kind) {
 		case 'node': {
@@ -107,39 +109,50 @@
 
 		case 'zone': {
 			const usages = rows.map((row) => decodeUsage(row));
-			return {kind, from, usage: {nodeFraction: checkPart(part), usages}};
+			return {
+				kind,
+				from,
+				usage: {nodeFraction: checkFraction(fraction), usages},
+			};
 		}
 
 		case 'totals': {
 			const accounts = rows.map((row) => decodeTotal(row));
-			return {kind, from, totals: {limitFraction: checkPart(part), accounts}};
+			return {
+				kind,
+				from,
+				totals: {limitFraction: checkFraction(fraction), accounts},
+			};
 		}
 	}
 };
 
-const rowOf = ({account, requested, admitted}: AccountUsage): Row => [
+const encodeUsage = ({account, requested, admitted}: AccountUsage): Row => [
 	account,
 	requested,
 	admitted,
 ];
 
 const decodeUsage = (row: Row): AccountUsage => ({
-	account: checkText(row[0]),
-	requested: checkCount(row[1]),
-	admitted: checkCount(row[2]),
+	account: checkString(row[0]),
+	requested: checkNonNegative(row[1]),
+	admitted: checkNonNegative(row[2]),
 });
 
 const decodeTotal = (row: Row): AccountTotal => ({
-	account: checkText(row[0]),
-	total: {requested: checkCount(row[1]), admitted: checkCount(row[2])},
-	admittedByUnreachable: checkCount(row[3]),
+	account: checkString(row[0]),
+	total: {
+		requested: checkNonNegative(row[1]),
+		admitted: checkNonNegative(row[2]),
+	},
+	admittedByUnreachable: checkNonNegative(row[3]),
 });
 
-const checkPart = (value: unknown): number => {
-	const part = checkCount(value);
-	if (part > 1) {
-		throw new TypeError('more than the whole');
+const checkFraction = (value: unknown): number => {
+	const fraction = checkNonNegative(value);
+	if (fraction > 1) {
+		throw new TypeError('expected a fraction of at most 1');
 	}
 
-	return part;
+	return fraction;
 };
--- a/tests/peers/heartbeat-codec.test.ts
+++ b/tests/peers/heartbeat-codec.test.ts
@@ -71,15 +71,15 @@
 	],
 };
 
-test('a heartbeat comes out as it went in', () => {
+test('decoding an encoded heartbeat returns the same heartbeat', () => {
 	assert.deepEqual(codec.decode(codec.encode(heartbeat)), heartbeat);
 });
 
-test('a heartbeat of the usual size fits into one packet', () => {
+test('a heartbeat with one digest of each kind fits into one packet', () => {
 	assert.ok(codec.encode(heartbeat).length < 600);
 });
 
-test('a datagram with another seal, or changed anywhere, is nothing', () => {
+test('a datagram with the seal of another key, a changed byte or random content is rejected', () => {
 	const datagram = codec.encode(heartbeat);
 	assert.equal(
 		createHeartbeatCodec(createSealer('another key')).decode(datagram),
--- a/tests/peers/heartbeat-fuzz.test.ts
+++ b/tests/peers/heartbeat-fuzz.test.ts
@@ -28,8 +28,8 @@
 	return Buffer.concat([sealer.seal(body), body]);
 };
 
-// Takes a datagram in as a node does; whatever is in it, nothing may be thrown.
-const takeIn = (datagram: Buffer): 'ignored' | 'taken' => {
+// Processes a datagram in the same way as a node; no content may cause an exception.
+const receive = (datagram: Buffer): 'ignored' | 'taken' => {
 	const heartbeat = codec.decode(datagram);
 	if (!heartbeat) {
 		return 'ignored';
@@ -61,7 +61,7 @@
 	return 'taken';
 };
 
-test('datagrams of any bytes are ignored', () => {
+test('datagrams of random bytes are ignored', () => {
 	fc.assert(
 		fc.property(fc.uint8Array({maxLength: 300}), (bytes) => {
 			assert.equal(codec.decode(Buffer.from(bytes)), undefined);
@@ -69,17 +69,17 @@
 	);
 });
 
-test('sealed datagrams of any content are taken in or ignored, and never throw', () => {
+test('sealed datagrams with any content are accepted or ignored, and never throw', () => {
 	fc.assert(
 		fc.property(fc.anything({maxDepth: 3}), (value) => {
-			assert.match(takeIn(sealed(value)), /^(?:ignored|taken)$/v);
+			assert.match(receive(sealed(value)), /^(?:ignored|taken)$/v);
 		}),
 	);
 });
 
-test('heartbeats with any one field replaced are taken in or ignored, and never throw', () => {
+test('heartbeats with any one field replaced are accepted or ignored, and never throw', () => {
 	const member = ['a', 'zone', '10.0.0.2:1', '10.0.0.2:2', 5, 0, 0];
-	const sound = [1, 0, 7, member, [member], '', [], [3, '']];
+	const validHeartbeat = [1, 0, 7, member, [member], '', [], [3, '']];
 	const paths = fc.constantFrom<readonly number[]>(
 		[1],
 		[2],
@@ -99,14 +99,14 @@
 	);
 	fc.assert(
 		fc.property(paths, fc.anything({maxDepth: 2}), (path, value) => {
-			const changed = structuredClone(sound) as unknown[];
-			let place = changed;
+			const changed = structuredClone(validHeartbeat) as unknown[];
+			let parent = changed;
 			for (const index of path.slice(0, -1)) {
-				place = place[index] as unknown[];
+				parent = parent[index] as unknown[];
 			}
 
-			place[path.at(-1) ?? 0] = value;
-			assert.match(takeIn(sealed(changed)), /^(?:ignored|taken)$/v);
+			parent[path.at(-1) ?? 0] = value;
+			assert.match(receive(sealed(changed)), /^(?:ignored|taken)$/v);
 		}),
 	);
 });
--- a/tests/peers/peer-calls.test.ts
+++ b/tests/peers/peer-calls.test.ts
@@ -34,7 +34,7 @@
 	body: Buffer.from('{}'),
 };
 
-test('an answer of a node for another attempt is dropped, also when it has arrived whole', async (t: TestContext) => {
+test('a complete answer of a node to another attempt is discarded', async (t: TestContext) => {
 	const peerAddress = await startForeignServer(t);
 	const calls = createPeerCalls({
 		self: () => memberOf('here-1', 'here'),
@@ -49,7 +49,7 @@
 			calls.forward(member, call, undefined, AbortSignal.timeout(10_000)),
 		),
 	);
-	// What a dropped answer leaves behind shows only after the call has ended.
+	// An error from discarding an answer would surface only after the call has ended.
 	await setImmediate();
 	await setImmediate();
 	for (const answer of answers) {
--- a/tests/peers/peer-message-codec.test.ts
+++ b/tests/peers/peer-message-codec.test.ts
@@ -5,9 +5,9 @@
 import {createHeartbeatCodec} from '../../src/peers/heartbeat-codec.ts';
 import {createSealer} from '../../src/peers/seal.ts';
 import {
-	accountsPerDatagram,
+	maximumRowsPerDatagram,
 	createPeerMessageCodec,
-	runsPerDatagram,
+	maximumRunsPerDatagram,
 } from '../../src/peers/peer-message-codec.ts';
 import type {UsageMessage} from '../../src/peers/usage-messages.ts';
 
@@ -29,14 +29,14 @@
 	fc.record({
 		kind: fc.constant('node' as const),
 		from: fc.string(),
-		usages: fc.array(usage, {maxLength: accountsPerDatagram}),
+		usages: fc.array(usage, {maxLength: maximumRowsPerDatagram}),
 	}),
 	fc.record({
 		kind: fc.constant('zone' as const),
 		from: fc.string(),
 		usage: fc.record({
 			nodeFraction: fc.constantFrom(1, 0.25, 0),
-			usages: fc.array(usage, {maxLength: accountsPerDatagram}),
+			usages: fc.array(usage, {maxLength: maximumRowsPerDatagram}),
 		}),
 	}),
 	fc.record({
@@ -44,12 +44,12 @@
 		from: fc.string(),
 		totals: fc.record({
 			limitFraction: fc.constantFrom(1, 0.5, 0),
-			accounts: fc.array(total, {maxLength: accountsPerDatagram}),
+			accounts: fc.array(total, {maxLength: maximumRowsPerDatagram}),
 		}),
 	}),
 );
 
-test('a message about usage arrives as it was sent', () => {
+test('decoding an encoded usage message returns the same message', () => {
 	fc.assert(
 		fc.property(message, (sent) => {
 			const [datagram] = codec.encode(sent);
@@ -59,7 +59,7 @@
 	);
 });
 
-test('many accounts go in several datagrams, each below the size of a packet', () => {
+test('a usage message with many accounts is split into datagrams that fit into a packet', () => {
 	const usages = Array.from({length: 280}, (_, index) => ({
 		account: `account-number-${index}`,
 		requested: 1_000_000 + index,
@@ -71,14 +71,14 @@
 		usage: {nodeFraction: 1, usages},
 	});
 	assert.ok(datagrams.every(({length}) => length < 1400));
-	const heard = datagrams.flatMap((datagram) => {
+	const received = datagrams.flatMap((datagram) => {
 		const decoded = codec.decode(datagram);
 		return decoded?.kind === 'zone' ? decoded.usage.usages : [];
 	});
-	assert.deepEqual(heard, usages);
+	assert.deepEqual(received, usages);
 });
 
-test('anything else is no message, and never ends in an exception', () => {
+test('random bytes, messages with another seal and messages passed to the heartbeat codec are rejected without an exception', () => {
 	const seal = (body: Buffer) => Buffer.concat([sealer.seal(body), body]);
 	fc.assert(
 		fc.property(fc.uint8Array(), (bytes) => {
@@ -94,7 +94,7 @@
 	assert.equal(otherKey.decode(datagram!), undefined);
 });
 
-test('counts below nothing, and parts beyond the whole, are refused', () => {
+test('negative counts and fractions above 1 are rejected', () => {
 	const usages = [{account: 'a', requested: -1, admitted: 0}];
 	const [below] = codec.encode({kind: 'node', from: 'a', usages});
 	assert.equal(codec.decode(below!), undefined);
@@ -106,8 +106,8 @@
 	assert.equal(codec.decode(beyond!), undefined);
 });
 
-test('what is told of crashes and quarantines arrives as it was sent', () => {
-	const runs = Array.from({length: runsPerDatagram + 1}, (_, index) => ({
+test('decoding encoded crash and quarantine messages returns the same messages', () => {
+	const runs = Array.from({length: maximumRunsPerDatagram + 1}, (_, index) => ({
 		incarnationId: `i-0123456789 ${1_700_000_000_000 + index}`,
 		agoMs: index,
 		fingerprint: '0123456789abcdef',
@@ -129,7 +129,7 @@
 	}
 });
 
-test('what is told of limits that servers name arrives as it was sent, many in several datagrams', () => {
+test('decoding encoded backend limits returns the same limits, also when split into several datagrams', () => {
 	const limit = fc.record(
 		{
 			incarnationId: fc.string(),
@@ -143,7 +143,7 @@
 	);
 	fc.assert(
 		fc.property(
-			fc.array(limit, {maxLength: accountsPerDatagram * 2}),
+			fc.array(limit, {maxLength: maximumRowsPerDatagram * 2}),
 			(limits) => {
 				const datagrams = codec.encode({
 					kind: 'backend-limits',
@@ -160,14 +160,14 @@
 	);
 });
 
-test('announced shutdowns arrive as they were told, over as many datagrams as they need', () => {
+test('decoding encoded server shutdowns returns the same servers, also when split into several datagrams', () => {
 	const server = fc.record(
 		{server: fc.string(), incarnationId: fc.string()},
 		{noNullPrototype: true},
 	);
 	fc.assert(
 		fc.property(
-			fc.array(server, {maxLength: accountsPerDatagram * 2}),
+			fc.array(server, {maxLength: maximumRowsPerDatagram * 2}),
 			(servers) => {
 				const received = codec
 					.encode({kind: 'servers-leaving', from: 'node', servers})
