--- a/src/node/configuration-controller.ts
+++ b/src/node/configuration-controller.ts
@@ -14,17 +14,17 @@
 */
 export type ConfigurationController = Controller & {
 	/**
-	Takes a document from any source.
+	Offers a configuration document from any source to the store.
 	*/
 	offer(text: string, source: ConfigurationSource): Offer['kind'];
 	/**
-	Fetches from a peer whose stamp is ahead.
+	Fetches the configuration of a peer if the peer's stamp is ahead.
 	*/
-	heard(stamp: ConfigurationStamp, from: Address): void;
+	receiveStamp(stamp: ConfigurationStamp, from: Address): void;
 	/**
-	Polls the platform once, on every node, not only the one that polls for its zone.
+	Polls the platform once, on any node, not only on those that poll for their zone.
 	*/
-	askPlatform(): Promise<PlatformAnswer>;
+	queryPlatform(): Promise<PlatformAnswer>;
 };
 
 /**
@@ -33,17 +33,17 @@
 export type PlatformAnswer = 'answered' | 'silent';
 
 /**
-What the controller tells others.
+Callbacks of the controller.
 */
 export type ConfigurationListeners = {
 	readonly onAccepted: (parsed: ParsedConfiguration) => void;
 };
 
-const watchMs = 20_000;
-const retryMs = 1000;
+const longPollMs = 20_000;
+const retryDelayMs = 1000;
 
 /**
-Builds the controller.
+Creates the controller.
 */
 export const createConfigurationController = (
 	context: NodeContext,
@@ -52,8 +52,8 @@
 	const {configuration, logger, membership, platform, clock} = context;
 	const fetching = new Set<Address>();
 	let isStopped = false;
-	let isWatching = false;
-	let nextWatchAt = 0;
+	let isPolling = false;
+	let nextPollAt = 0;
 
 	const offer = (text: string, source: ConfigurationSource): Offer['kind'] => {
 		const outcome = configuration.offer(text, source, clock());
@@ -71,7 +71,7 @@
 				.slice(0, 5);
 			logger.error(
 				{source, faults: faults.join('; ')},
-				'configuration refused; the one in force stays',
+				'invalid configuration rejected; keeping the active configuration',
 			);
 		} else if (refusal.reason === 'older') {
 			logger.debug({source}, 'older configuration ignored');
@@ -80,7 +80,7 @@
 		return 'refused';
 	};
 
-	const askPlatform = async (waitMs = 0): Promise<PlatformAnswer> => {
+	const queryPlatform = async (waitMs = 0): Promise<PlatformAnswer> => {
 		const read = await platform.readConfiguration(
 			configuration.stamp().version,
 			waitMs,
@@ -88,9 +88,9 @@
 		if (read.isErr) {
 			logger.debug(
 				{fault: read.error.kind},
-				'the configuration service did not answer',
+				'configuration service did not answer',
 			);
-			nextWatchAt = clock() + retryMs;
+			nextPollAt = clock() + retryDelayMs;
 			return 'silent';
 		}
 
@@ -98,17 +98,17 @@
 			read.value.kind === 'document' &&
 			offer(read.value.text, 'platform') === 'refused'
 		) {
-			// A stale or invalid document would be handed out again at once.
-			nextWatchAt = clock() + retryMs;
+			// The platform would return the same stale or invalid document again immediately.
+			nextPollAt = clock() + retryDelayMs;
 		}
 
 		return 'answered';
 	};
 
-	const watch = async () => {
-		isWatching = true;
-		await askPlatform(watchMs);
-		isWatching = false;
+	const poll = async () => {
+		isPolling = true;
+		await queryPlatform(longPollMs);
+		isPolling = false;
 	};
 
 	const fetchFrom = async (peer: Address) => {
@@ -123,19 +123,19 @@
 	return {
 		name: 'configuration',
 		offer,
-		askPlatform: async () => askPlatform(),
-		heard(stamp, from) {
+		queryPlatform: async () => queryPlatform(),
+		receiveStamp(stamp, from) {
 			if (!isStopped && configuration.isAhead(stamp) && !fetching.has(from)) {
 				void fetchFrom(from);
 			}
 		},
 		tick(now) {
-			const isDue = !isWatching && !isStopped && now >= nextWatchAt;
+			const isDue = !isPolling && !isStopped && now >= nextPollAt;
 			if (
 				isDue &&
 				hasRole('configuration', membership.self(), membership.members())
 			) {
-				void watch();
+				void poll();
 			}
 		},
 		async stop() {
--- a/src/node/create-node.ts
+++ b/src/node/create-node.ts
@@ -13,7 +13,7 @@
 import {createRequestPath} from './request-path.ts';
 
 /**
-Builds a node from its settings; nothing runs before `start`.
+Creates a node from its settings; nothing runs before `start`.
 */
 export const createNode = (
 	settings: ServeSettings,
@@ -65,19 +65,19 @@
 		core,
 		backendLimits,
 		(engine, incarnation) => {
-			controllers.fleet.leaving(engine, incarnation);
+			controllers.fleet.recordShutdown(engine, incarnation);
 		},
 	);
-	const shared = {
+	const dependencies = {
 		quarantine,
 		backendLimits,
 		statements,
 		announcements,
 	};
 	const gate = {readiness, waitUntilUpToDate, isUpToDate};
-	const path = createRequestPath(core, gate, shared);
+	const path = createRequestPath(core, gate, dependencies);
 	const {chain, executor, inFlight, permits, report} = path;
-	const controllers = createNodeControllers(core, path, shared);
+	const controllers = createNodeControllers(core, path, dependencies);
 
 	return {
 		...context,
@@ -113,7 +113,7 @@
 			controllers.membership.handle({kind: 'leave'});
 			logger.info(
 				{inFlight: inFlight.count()},
-				'leaving: new requests are refused',
+				'draining; new requests are refused',
 			);
 			return inFlight.waitUntilIdle(settings.drainTimeoutMs);
 		},
--- a/src/node/fleet-controller.ts
+++ b/src/node/fleet-controller.ts
@@ -16,69 +16,70 @@
 import type {NodeContext} from './node-context.ts';
 
 /**
-Learns the load of backend servers and tells the other nodes.
+Polls the load of backend servers and publishes it to the other nodes.
 */
 export type FleetController = Controller & {
-	configured(parsed: ParsedConfiguration): void;
+	applyConfiguration(parsed: ParsedConfiguration): void;
 	/**
-	Takes in soft state that peers sent.
+	Applies soft state received from peers.
 	*/
 	applyDigests(values: readonly DatedValue[]): void;
 	/**
-	Takes in an announced shutdown from any source and passes it on.
+	Records a shutdown announced through any source, and publishes it if the server belongs to this zone.
 	*/
-	leaving(backendServer: string, incarnation: string): void;
+	recordShutdown(backendServer: string, incarnation: string): void;
 };
 
 /**
-What the controller is built from.
+Options of `createFleetController`.
 */
 export type FleetControllerOptions = {
 	readonly context: NodeContext;
 	readonly engines: EngineClient;
 	readonly limits: ClientLimits;
 	/**
-	Milliseconds between two reads of a server's load by one node, where the server bounds what it is asked.
+	Minimum interval between two reads of a server's load by one node, in milliseconds, if the server limits its request
+	rate.
 	*/
 	readonly enginePollIntervalMs: (server: BackendServer) => number;
 	/**
-	Takes in what servers state in the heads of their load reports.
+	Receives the statements in the response headers of load reports.
 	*/
 	readonly statements: Pick<RequestStatements, 'recordLoadReport'>;
 	/**
-	Called when load may have fallen.
+	Called when the load of a server may have decreased.
 	*/
 	readonly onCapacity: () => void;
 };
 
 /**
-Milliseconds between two reads of one server's load.
+Minimum interval between two rounds of load reads, in milliseconds.
 */
 export const loadIntervalMs = 500;
 
 /**
-Milliseconds that each server read adds to that; bounds the reads of a node with many servers.
+Minimum round interval per polled server, in milliseconds; limits the read rate of a node that polls many servers.
 */
 export const readSpacingMs = 270;
 
 /**
-Milliseconds between two statements of own requests in flight and of demand.
+Interval at which a node publishes loads, its requests in flight and its demand, in milliseconds.
 */
-export const statementIntervalMs = 500;
+export const publishIntervalMs = 500;
 
 /**
-Milliseconds between two summaries of a zone.
+Interval between two summaries of a zone, in milliseconds.
 */
 export const summaryIntervalMs = 1000;
 
 /**
-Name under which the demand of a whole zone is stated.
+Returns the holder name under which the demand of a whole zone is published.
 */
 export const zoneDemandHolder = (availabilityZone: string): string =>
 	`zone:${availabilityZone}`;
 
 /**
-Builds the controller.
+Creates the controller.
 */
 export const createFleetController = (
 	options: FleetControllerOptions,
@@ -86,19 +87,19 @@
 	const {context, engines, limits} = options;
 	const {fleet, membership, digests, clock, settings} = context;
 	let local: readonly BackendServer[] = [];
-	const polling = new Set<string>();
-	const readAt = new Map<string, number>();
-	// Reports read since the last statement.
-	const unstated = new Map<
+	const pendingReads = new Set<string>();
+	const lastReadAt = new Map<string, number>();
+	// Reports read since loads were last published.
+	const unpublishedReports = new Map<
 		string,
 		{readonly observedAt: number; readonly load: ServerLoad}
 	>();
 	let nextLoadAt = 0;
-	let nextStatementAt = 0;
+	let nextPublishAt = 0;
 	let nextSummaryAt = 0;
-	let stated = {inFlight: '', demand: ''};
+	let lastPublished = {inFlight: '', demand: ''};
 
-	const leaving = (backendServer: string, incarnation: string) => {
+	const recordShutdown = (backendServer: string, incarnation: string) => {
 		fleet.handle({kind: 'leaving', backendServer, incarnation}, clock());
 		if (local.some(({id}) => id === backendServer)) {
 			digests.put(
@@ -109,8 +110,8 @@
 		}
 	};
 
-	// Two nodes of the zone read each server; the others hear from them.
-	const isWatched = (server: BackendServer): boolean => {
+	// Two nodes of the zone poll each server; the other nodes receive its load by gossip.
+	const isPolledByThisNode = (server: BackendServer): boolean => {
 		const self = membership.self();
 		const zone = membership
 			.members()
@@ -124,12 +125,12 @@
 	};
 
 	const readLoad = async (server: BackendServer) => {
-		polling.add(server.id);
+		pendingReads.add(server.id);
 		const sentAt = clock();
 		const status = await engines.readStatus(server.address, (head) => {
 			options.statements.recordLoadReport(server, head, sentAt);
 		});
-		polling.delete(server.id);
+		pendingReads.delete(server.id);
 		if (status.isErr) {
 			return;
 		}
@@ -145,46 +146,47 @@
 			},
 			now,
 		);
-		unstated.set(server.id, {
+		unpublishedReports.set(server.id, {
 			observedAt: now - ageMs,
 			load: {backendServer: server.id, ...report},
 		});
 		options.onCapacity();
 		if (isLeaving) {
-			leaving(server.id, report.incarnation);
+			recordShutdown(server.id, report.incarnation);
 		}
 	};
 
 	const readLoads = (now: number) => {
-		const watched = local.filter((server) => isWatched(server));
-		nextLoadAt = now + Math.max(loadIntervalMs, watched.length * readSpacingMs);
-		for (const server of watched) {
-			const pauseMs = options.enginePollIntervalMs(server) * nodesPerRole;
+		const polledServers = local.filter((server) => isPolledByThisNode(server));
+		nextLoadAt =
+			now + Math.max(loadIntervalMs, polledServers.length * readSpacingMs);
+		for (const server of polledServers) {
+			const intervalMs = options.enginePollIntervalMs(server) * nodesPerRole;
 			if (
-				polling.has(server.id) ||
+				pendingReads.has(server.id) ||
 				fleet.backoffRemainingMs(server.id, now) > 0 ||
-				now - (readAt.get(server.id) ?? -Infinity) < pauseMs
+				now - (lastReadAt.get(server.id) ?? -Infinity) < intervalMs
 			) {
 				continue;
 			}
 
-			readAt.set(server.id, now);
+			lastReadAt.set(server.id, now);
 			void readLoad(server);
 		}
 	};
 
-	// One entry for all servers that this node reads: an entry has more head than body.
-	const stateLoads = (now: number) => {
-		if (unstated.size === 0) {
+	// Combines the reports of all polled servers in one entry, because the envelope of an entry is larger than a report.
+	const publishLoads = (now: number) => {
+		if (unpublishedReports.size === 0) {
 			return;
 		}
 
-		const reports = unstated
+		const reports = unpublishedReports
 			.values()
 			.map(({load}) => load)
 			.toArray();
 		const oldest = Math.min(
-			...unstated.values().map(({observedAt}) => observedAt),
+			...unpublishedReports.values().map(({observedAt}) => observedAt),
 		);
 		const {id: node} = membership.self();
 		digests.put(
@@ -192,11 +194,11 @@
 			'availability-zone',
 			Math.min(now, oldest),
 		);
-		unstated.clear();
+		unpublishedReports.clear();
 	};
 
-	const state = (now: number) => {
-		stateLoads(now);
+	const publishState = (now: number) => {
+		publishLoads(now);
 		const counts = fleet.inFlight();
 		const rates = limits.demand(now);
 		const next = {
@@ -204,11 +206,11 @@
 			demand: JSON.stringify(rates),
 		};
 		const {id: node, availabilityZone} = membership.self();
-		if (next.inFlight !== stated.inFlight || next.inFlight !== '{}') {
+		if (next.inFlight !== lastPublished.inFlight || next.inFlight !== '{}') {
 			digests.put({kind: 'in-flight', node, counts}, 'availability-zone', now);
 		}
 
-		if (next.demand !== stated.demand || next.demand !== '{}') {
+		if (next.demand !== lastPublished.demand || next.demand !== '{}') {
 			digests.put(
 				{kind: 'demand', holder: node, availabilityZone, rates},
 				'availability-zone',
@@ -216,7 +218,7 @@
 			);
 		}
 
-		stated = next;
+		lastPublished = next;
 		limits.setPeerDemand(peerDemand(now));
 	};
 
@@ -241,7 +243,7 @@
 		const services: Record<string, ZoneServiceSummary> = {};
 		for (const service of new Set(local.map((server) => server.service))) {
 			const servers = local.filter((server) => server.service === service);
-			services[service] = rounded(fleet.summary(servers, now));
+			services[service] = roundSummary(fleet.summary(servers, now));
 		}
 
 		digests.put(
@@ -278,7 +280,7 @@
 		return sums;
 	};
 
-	const take = ({value, observedAt}: DatedValue) => {
+	const applyDigest = ({value, observedAt}: DatedValue) => {
 		const now = clock();
 		switch (value.kind) {
 			case 'loads': {
@@ -315,7 +317,7 @@
 
 			case 'zone-summary':
 			case 'demand': {
-				// Read from the table when needed.
+				// These are read from the digest table on demand.
 				return;
 			}
 
@@ -327,28 +329,28 @@
 
 	return {
 		name: 'fleet',
-		configured({configuration}) {
+		applyConfiguration({configuration}) {
 			local = configuration.backendServers.filter(
 				({availabilityZone}) => availabilityZone === settings.availabilityZone,
 			);
 			fleet.handle({kind: 'configured', backendServers: local}, clock());
-			// Words heard before the servers were known must hold as well.
-			heardAgain();
+			// Digests that arrived before the servers were configured must take effect as well.
+			reapplyDigests();
 		},
 		applyDigests(values) {
 			for (const value of values) {
-				take(value);
+				applyDigest(value);
 			}
 		},
-		leaving,
+		recordShutdown,
 		tick(now) {
 			if (now >= nextLoadAt) {
 				readLoads(now);
 			}
 
-			if (now >= nextStatementAt) {
-				nextStatementAt = now + statementIntervalMs;
-				state(now);
+			if (now >= nextPublishAt) {
+				nextPublishAt = now + publishIntervalMs;
+				publishState(now);
 			}
 
 			if (!(now >= nextSummaryAt)) {
@@ -363,18 +365,18 @@
 		},
 	};
 
-	function heardAgain() {
+	function reapplyDigests() {
 		const now = clock();
 		for (const value of [
 			...digests.values('leaving', now),
 			...digests.values('loads', now),
 		]) {
-			take(value);
+			applyDigest(value);
 		}
 	}
 };
 
-const rounded = (summary: ZoneServiceSummary): ZoneServiceSummary => ({
+const roundSummary = (summary: ZoneServiceSummary): ZoneServiceSummary => ({
 	load: Math.round(summary.load),
 	slots: summary.slots,
 	firstTokenMs: Math.round(summary.firstTokenMs),
--- a/src/node/forward-handler.ts
+++ b/src/node/forward-handler.ts
@@ -24,7 +24,7 @@
 import type {NodeContext} from './node-context.ts';
 
 /**
-What the handler is built from.
+Options of `createForwardHandler`.
 */
 export type ForwardHandlerOptions = {
 	readonly context: NodeContext;
@@ -35,12 +35,12 @@
 };
 
 /**
-Header that names the backend server that a receiver chose.
+Header with the id of the backend server that the receiving node chose.
 */
 export const backendServerHeader = 'x-quillford-backend-server';
 
 /**
-Builds the handler of requests that other nodes pass to this one.
+Creates the handler for requests that other nodes forward to this node.
 */
 export const createForwardHandler = (options: ForwardHandlerOptions) => {
 	const {context, inFlight} = options;
@@ -57,11 +57,11 @@
 			envelope.resumeFrom,
 		);
 		if (opened.isErr) {
-			refuse(reply, opened.error);
+			sendRefusal(reply, opened.error);
 			return;
 		}
 
-		await pass(opened.value, envelope, reply);
+		await relayAnswer(opened.value, envelope, reply);
 	};
 
 	const redeem = async (
@@ -71,7 +71,7 @@
 	) => {
 		const answer = await options.chain.redeem(request);
 		if (answer.kind === 'refused') {
-			refuse(reply, answer.error);
+			sendRefusal(reply, answer.error);
 			return;
 		}
 
@@ -92,10 +92,10 @@
 				abort.abort();
 			}
 		});
-		// A node that is leaving still answers for the request ids that it issued.
+		// A draining node still redeems the request ids that it issued.
 		const isRedemption = envelope?.purpose === 'redeem';
-		const obstacle = isRedemption ? undefined : await options.readiness();
-		const request = obstacle
+		const readinessError = isRedemption ? undefined : await options.readiness();
+		const request = readinessError
 			? undefined
 			: parseForwardedRequest(envelope, body, {
 					configuration: context.configuration.current()?.configuration,
@@ -106,15 +106,15 @@
 				});
 		if (!request || request.isErr) {
 			const error =
-				obstacle ??
+				readinessError ??
 				(request?.isErr
 					? request.error
-					: createGatewayError('internal', 'No request'));
+					: createGatewayError('internal', 'The forwarded request is missing'));
 			context.logger.warn(
 				{origin: envelope?.origin, kind: error.kind},
 				'forwarded request refused',
 			);
-			refuse(reply, error);
+			sendRefusal(reply, error);
 			return;
 		}
 
@@ -134,7 +134,7 @@
 	};
 };
 
-const pass = async (
+const relayAnswer = async (
 	attempt: ForwardedAttempt,
 	envelope: ForwardEnvelope,
 	reply: ForwardedRequest['reply'],
@@ -149,19 +149,19 @@
 		[attemptHeader]: envelope.attemptId,
 		[backendServerHeader]: attempt.backendServer,
 	});
-	await reply.send(Readable.from(observed(attempt)));
+	await reply.send(Readable.from(observeBody(attempt)));
 };
 
-// Bytes are passed on as they come: the origin checks them, as it would its own engine's.
-async function* observed(
+// Relays bytes unchanged: the origin validates them in the same way as the answers of its own engines.
+async function* observeBody(
 	attempt: ForwardedAttempt,
 ): AsyncGenerator<Buffer, void, void> {
-	let isFirstDelivery = true;
+	let isFirstChunk = true;
 	let end: 'answered' | 'failed' | 'canceled' = 'canceled';
 	try {
 		for await (const chunk of attempt.upstream.body) {
-			if (isFirstDelivery) {
-				isFirstDelivery = false;
+			if (isFirstChunk) {
+				isFirstChunk = false;
 				attempt.observeFirstByte();
 			}
 
@@ -177,11 +177,12 @@
 	}
 }
 
-const refuse = (reply: ForwardedRequest['reply'], error: GatewayError) => {
+const sendRefusal = (reply: ForwardedRequest['reply'], error: GatewayError) => {
 	const {headers, body} = renderError(error);
-	const evidence = error.outcome === 'not-run' ? {[notRunHeader]: '1'} : {};
+	const notRunHeaders =
+		error.outcome === 'not-run' ? {[notRunHeader]: '1'} : {};
 	void reply
 		.code(answerTable[error.kind].status)
-		.headers({...headers, ...evidence, [refusalHeader]: error.kind})
+		.headers({...headers, ...notRunHeaders, [refusalHeader]: error.kind})
 		.send(body);
 };
--- a/src/node/gateway-node.ts
+++ b/src/node/gateway-node.ts
@@ -13,7 +13,8 @@
 	readonly inFlight: InFlight;
 	start(): Promise<void>;
 	/**
-	Refuses new work, tells peers, and resolves once all requests have ended.
+	Refuses new requests, announces the shutdown to peers, and resolves once all requests have ended or the drain timeout
+	has elapsed.
 	*/
 	drain(): Promise<boolean>;
 	isLeaving(): boolean;
@@ -21,7 +22,7 @@
 	report(): NodeReport;
 	entryVms(): EntryVmList;
 	/**
-	A fresh request id that a caller can use for a request that may run only once.
+	Issues a request id for a request that may run at most once.
 	*/
 	issueRequestId(): string;
 	readiness(): Promise<GatewayError | undefined>;
--- a/src/node/membership-controller.ts
+++ b/src/node/membership-controller.ts
@@ -17,7 +17,7 @@
 import type {NodeContext} from './node-context.ts';
 
 /**
-The parts of a node that heartbeats need.
+The parts of a node context that the membership controller uses.
 */
 export type HeartbeatContext = Pick<
 	NodeContext,
@@ -28,11 +28,11 @@
 };
 
 /**
-Carries heartbeats, and soft state with them.
+Exchanges heartbeats with piggybacked soft state.
 */
 export type MembershipController = Controller & {
 	/**
-	Hands an event to membership and carries out what follows.
+	Passes an event to the membership protocol and performs the resulting actions.
 	*/
 	handle(event: MembershipEvent): void;
 	/**
@@ -43,25 +43,25 @@
 };
 
 /**
-What the controller tells others.
+Callbacks of the controller.
 */
 export type MembershipListeners = {
 	readonly onDigests: (values: readonly DatedValue[]) => void;
 	readonly onStamp: (stamp: ConfigurationStamp, from: Address) => void;
 	readonly onChanged: (member: Member) => void;
 	/**
-	Told of a datagram that is no heartbeat.
+	Called with each datagram that is not a heartbeat.
 	*/
 	readonly onOtherDatagram?: (datagram: Buffer) => void;
 };
 
 /**
-Bytes of soft state in one heartbeat; keeps a datagram below the usual size of a packet.
+Maximum size of the soft state in one heartbeat, in bytes; keeps a datagram below the usual size of a packet.
 */
 export const digestBudgetBytes = 700;
 
 /**
-Builds the controller.
+Creates the controller.
 */
 export const createMembershipController = (
 	context: HeartbeatContext,
@@ -108,11 +108,14 @@
 		const heartbeat = codec.decode(datagram);
 		if (!heartbeat) {
 			listeners.onOtherDatagram?.(datagram);
-			logger.debug({bytes: datagram.length}, 'datagram that is no heartbeat');
+			logger.debug(
+				{bytes: datagram.length},
+				'received datagram is not a heartbeat',
+			);
 			return;
 		}
 
-		// Soft state first: the answer that `handle` sends may already carry it on.
+		// Soft state is applied first so that the reply that `handle` sends can already propagate it.
 		listeners.onDigests(digests.apply(heartbeat.digests, clock()));
 		listeners.onStamp(heartbeat.stamp, heartbeat.message.from.peerAddress);
 		handle({kind: 'message', message: heartbeat.message});
--- a/src/node/node-context.ts
+++ b/src/node/node-context.ts
@@ -13,7 +13,7 @@
 export type NodeContext = {
 	readonly settings: ServeSettings;
 	/**
-	Milliseconds of a clock that never goes back.
+	A monotonic clock, in milliseconds.
 	*/
 	readonly clock: () => number;
 	readonly configuration: ConfigurationStore;
@@ -24,7 +24,7 @@
 	readonly platform: PlatformClient;
 	readonly logger: Logger;
 	/**
-	The region of this node, or an empty text before the first configuration.
+	Returns the region of this node, or an empty string before the first configuration.
 	*/
 	readonly localRegion: () => string;
 };
--- a/src/node/node-controllers.ts
+++ b/src/node/node-controllers.ts
@@ -22,17 +22,17 @@
 import {createVmListController} from './vm-list-controller.ts';
 
 /**
-What keeps the state of a node up to date.
+The controllers that keep the state of a node up to date.
 */
 export type NodeControllers = {
 	readonly host: ControllerHost;
 	readonly membership: MembershipController;
 	readonly recovery: RecoveryController;
-	readonly fleet: Pick<FleetController, 'leaving'>;
+	readonly fleet: Pick<FleetController, 'recordShutdown'>;
 };
 
 /**
-Builds the controllers of one node and enters them with their host; none runs before the host starts.
+Creates the controllers of one node and registers them with their host; none runs before the host starts.
 */
 export const createNodeControllers = (
 	core: NodeCore,
@@ -50,7 +50,7 @@
 	const {context} = core;
 	const {clock, configuration, digests, fleet} = context;
 	const {capacity, metrics, inFlight} = path;
-	const messages = createPeerMessageCodec(core.sealer);
+	const messageCodec = createPeerMessageCodec(core.sealer);
 	const host = createControllerHost(clock, context.logger);
 	const fleetController = createFleetController({
 		context,
@@ -67,7 +67,7 @@
 		{
 			onDigests: fleetController.applyDigests,
 			onStamp(stamp, from) {
-				configurationController.heard(stamp, from);
+				configurationController.receiveStamp(stamp, from);
 			},
 			onChanged(member) {
 				if (member.status === 'dead') {
@@ -75,7 +75,7 @@
 				}
 			},
 			onOtherDatagram(datagram) {
-				const message = messages.decode(datagram);
+				const message = messageCodec.decode(datagram);
 				switch (message?.kind) {
 					case 'crashes':
 					case 'quarantine':
@@ -89,7 +89,7 @@
 						break;
 					}
 
-					// What gateways tell each other, or nothing that can be read.
+					// Messages that only gateways use, and datagrams that cannot be decoded.
 					case 'reading':
 					case 'node':
 					case 'zone':
@@ -102,7 +102,7 @@
 	);
 	const configurationController = createConfigurationController(context, {
 		onAccepted(parsed: ParsedConfiguration) {
-			fleetController.configured(parsed);
+			fleetController.applyConfiguration(parsed);
 			membership.handle({kind: 'announce'});
 		},
 	});
@@ -110,14 +110,14 @@
 		onEntryVms(entryVms) {
 			membership.handle({kind: 'vm-list', entryVms});
 		},
-		onLeaving: fleetController.leaving,
+		onLeaving: fleetController.recordShutdown,
 	});
 	const recovery = createRecoveryController({
 		context,
 		async queryPlatform() {
 			const answers = await Promise.all([
-				configurationController.askPlatform(),
-				vmListController.ask(),
+				configurationController.queryPlatform(),
+				vmListController.queryPlatform(),
 			]);
 			return answers.includes('silent') ? 'silent' : 'answered';
 		},
@@ -138,21 +138,21 @@
 			}
 		},
 	});
-	// Whether any server had a limit when the fleet was told last.
-	let wereLimits = false;
-	const keepLimits = (now: number) => {
+	// Whether any server had a limit at the last update of the fleet.
+	let hadLimits = false;
+	const updateLimits = (now: number) => {
 		backendLimits.tick(now);
-		const areThere = backendLimits.hasAny();
-		if (areThere || wereLimits) {
-			fleet.handle({kind: 'limited', backendServers: limitedNow()}, now);
-			// A limited server has room again as time passes, whatever ends there.
+		const hasLimits = backendLimits.hasAny();
+		if (hasLimits || hadLimits) {
+			fleet.handle({kind: 'limited', backendServers: limitedServerIds()}, now);
+			// A rate-limited server regains capacity as time passes, even if no request ends.
 			capacity.notify();
 		}
 
-		wereLimits = areThere;
+		hadLimits = hasLimits;
 	};
 
-	const limitedNow = (): ReadonlySet<string> =>
+	const limitedServerIds = (): ReadonlySet<string> =>
 		new Set(
 			fleet
 				.states(clock())
@@ -160,12 +160,12 @@
 				.map(({id}) => id),
 		);
 
-	const waiting = {
+	const periodicTasks = {
 		name: 'waiting',
 		tick(now: number) {
 			quarantine.tick(now);
 			announcements.tick(now);
-			keepLimits(now);
+			updateLimits(now);
 			capacity.expire(now);
 			metrics.gauge('in_flight', inFlight.count());
 			metrics.gauge('requests_quarantined', quarantine.quarantined(now));
@@ -180,7 +180,7 @@
 		configurationController,
 		fleetController,
 		recovery,
-		waiting,
+		periodicTasks,
 	]) {
 		host.add(controller);
 	}
--- a/src/node/node-core.ts
+++ b/src/node/node-core.ts
@@ -28,7 +28,7 @@
 import type {NodeContext} from './node-context.ts';
 
 /**
-What a node knows and speaks with, before anything runs.
+The state, clients and codecs of a node, created before any controller runs.
 */
 export type NodeCore = {
 	readonly context: NodeContext;
@@ -42,7 +42,7 @@
 const seedRange = 2 ** 31;
 
 /**
-Builds the core of a node from its settings.
+Creates the core of a node from its settings.
 */
 export const createNodeCore = (
 	settings: ServeSettings,
--- a/src/node/node-limits.ts
+++ b/src/node/node-limits.ts
@@ -10,14 +10,14 @@
 import type {NodeCore} from './node-core.ts';
 
 /**
-How long a node leaves limited engines to others after its start, in milliseconds: some heartbeats, by which it has heard of
-the others.
+Time after its start during which a node sends no requests to rate-limited engines, in milliseconds. It spans several
+heartbeats, by which the node discovers the other nodes that share the limits.
 */
-export const limitSettlingMs = 2500;
+export const limitStartupDelayMs = 2500;
 
 /**
-Builds the limits of a node, which tells the other nodes of its zone by what sends a datagram: the engines of a zone are
-sent requests by its nodes only.
+Creates the backend limits of a node. Limits are shared with the nodes of the same zone only, because only these nodes send
+requests to the engines of the zone; `send` sends one datagram.
 */
 export const createNodeLimits = (
 	{context, sealer}: NodeCore,
@@ -38,7 +38,7 @@
 		peers,
 		reachableFraction,
 		canUseLimitedServers: () =>
-			clock() - startedAt > limitSettlingMs &&
+			clock() - startedAt > limitStartupDelayMs &&
 			membership.self().status !== 'leaving',
 		send: createPeerMessageSender(createPeerMessageCodec(sealer), send),
 		without: new Set(),
--- a/src/node/node-quarantine.ts
+++ b/src/node/node-quarantine.ts
@@ -8,7 +8,7 @@
 import type {NodeCore} from './node-core.ts';
 
 /**
-Builds the quarantine of a node, which tells other nodes by what sends a datagram.
+Creates the quarantine of a node, which is shared with other nodes; `send` sends one datagram.
 */
 export const createNodeQuarantine = (
 	{context, engines, random, sealer}: NodeCore,
@@ -16,24 +16,26 @@
 ): Quarantine => {
 	const {clock, configuration, logger, membership, settings} = context;
 
-	const ask = async (id: string, life: string) => {
+	const probeEngine = async (id: string, incarnationId: string) => {
 		const servers = configuration.current()?.configuration.backendServers;
 		const server = servers?.find((each) => each.id === id);
-		// The refusal that asked for a rest has shown that the engine lives.
-		const canAsk = context.fleet.backoffRemainingMs(id, clock()) === 0;
-		const now =
-			server && canAsk
+		// An engine that requested a backoff has shown by its refusal that it is running.
+		const canProbe = context.fleet.backoffRemainingMs(id, clock()) === 0;
+		const processState =
+			server && canProbe
 				? await engines.readProcessState(server.address)
 				: undefined;
-		const verdict = now ? judgeLife(id, life, now) : 'unknown';
-		switch (verdict) {
+		const comparison = processState
+			? compareIncarnations(id, incarnationId, processState)
+			: 'unknown';
+		switch (comparison) {
 			case 'ended': {
-				quarantine.connectionRefused(life, clock());
+				quarantine.connectionRefused(incarnationId, clock());
 				break;
 			}
 
 			case 'same': {
-				quarantine.crashRuledOut(life);
+				quarantine.crashRuledOut(incarnationId);
 				break;
 			}
 
@@ -47,10 +49,10 @@
 		self: settings.nodeId,
 		usable: membership.usable,
 		send: createPeerMessageSender(createPeerMessageCodec(sealer), send),
-		probe(server, life) {
-			void ask(server, life);
+		probe(server, incarnationId) {
+			void probeEngine(server, incarnationId);
 		},
-		// Its runs end by themselves; none is sent again.
+		// Runs of a quarantined request are not canceled: they end on their own and are not retried.
 		onQuarantined: () => undefined,
 		random,
 		without: new Set(),
@@ -60,17 +62,18 @@
 	return quarantine;
 };
 
-// One that was back at once has another name. Of one whose name was not heard before nothing is proved.
-const judgeLife = (
+// An engine that restarted reports a different incarnation. If the earlier incarnation is not known, a running engine proves
+// no crash.
+const compareIncarnations = (
 	id: string,
-	life: string,
-	now: EngineProcessState,
+	incarnationId: string,
+	processState: EngineProcessState,
 ): 'same' | 'ended' | 'unknown' => {
-	switch (now.kind) {
+	switch (processState.kind) {
 		case 'running': {
 			const isSame =
-				life === engineIncarnationId(id, now.incarnation) ||
-				life === engineIncarnationId(id);
+				incarnationId === engineIncarnationId(id, processState.incarnation) ||
+				incarnationId === engineIncarnationId(id);
 			return isSame ? 'same' : 'ended';
 		}
 
--- a/src/node/node-statements.ts
+++ b/src/node/node-statements.ts
@@ -15,7 +15,7 @@
 import type {NodeCore} from './node-core.ts';
 
 /**
-What a node hears from engines in the heads of their answers, and what it believes by it.
+The handler for statements in the response headers of engines, and the announcements that it has recorded.
 */
 export type NodeStatements = {
 	readonly statements: RequestStatements;
@@ -23,7 +23,8 @@
 };
 
 /**
-Builds the statements of one node; `onLeaving` is told which process of an engine announced its shutdown.
+Creates the statement handling of one node; `onLeaving` is called with the server and the incarnation that announced its
+shutdown.
 */
 export const createNodeStatements = (
 	{context, random}: NodeCore,
@@ -39,10 +40,10 @@
 		},
 	});
 
-	const rest = (origin: StatementOrigin, restMs: number) => {
+	const recordBackoff = (origin: StatementOrigin, backoffMs: number) => {
 		const {server, incarnationId} = origin;
-		announcements.recordBackoff(origin, restMs);
-		// The answer may be from a process that has ended since.
+		announcements.recordBackoff(origin, backoffMs);
+		// The answer may come from a process that has ended in the meantime.
 		if (
 			engineIncarnationId(server, fleet.incarnationOf(server)) !== incarnationId
 		) {
@@ -54,16 +55,16 @@
 		fleet.handle({kind: 'resting', backendServer: server, until}, now);
 	};
 
-	const intake = createStatementHandler({
+	const statementHandler = createStatementHandler({
 		headers: {
 			leaving: leavingHeader,
 			limit: limitHeader,
-			// Engines state these in their load reports.
+			// Engines report these values in their load reports.
 			load: undefined,
 			coldMs: undefined,
 		},
 		onLeaving: announcements.recordShutdown,
-		onBackoff: rest,
+		onBackoff: recordBackoff,
 		onLimit: backendLimits.recordStatement,
 		onFault(server, {kind, reason}) {
 			logger.debug(
@@ -74,7 +75,7 @@
 	});
 
 	return {
-		statements: createRequestStatements(intake, fleet, clock),
+		statements: createRequestStatements(statementHandler, fleet, clock),
 		announcements,
 	};
 };
--- a/src/node/permit-issuer-call.ts
+++ b/src/node/permit-issuer-call.ts
@@ -14,17 +14,17 @@
 import type {NodeContext} from './node-context.ts';
 
 /**
- Builds the call that asks the node which issued a request id for the outcome.
+ Creates the call that redeems a request id at the node that issued it.
  
- Only that node may run the request. Where it cannot be asked, the outcome is unknown,
- and it stays so: running the request here could run it twice.
+ Only the issuer may run the request. If the issuer cannot be reached, the outcome remains
+ unknown: running the request on this node could run it twice.
  */
 export const createPermitIssuerCall =
 	(context: NodeContext) =>
-	async (request: GatewayRequest, holder: PermitIssuer): Promise<Answer> => {
-		const member = context.membership.find(holder.node);
+	async (request: GatewayRequest, issuer: PermitIssuer): Promise<Answer> => {
+		const member = context.membership.find(issuer.node);
 		if (!member || member.status === 'dead') {
-			return refused(unreachable(holder.node));
+			return refusedAnswer(unreachableIssuerError(issuer.node));
 		}
 
 		const abort = new AbortController();
@@ -36,17 +36,17 @@
 		);
 		const answer = await context.peers.forward(
 			member,
-			callFor(request, context),
+			createRedeemCall(request, context),
 			undefined,
 			abort.signal,
 		);
 		clearTimeout(timer);
 		return answer.isOk
-			? passOn(answer.value, member)
-			: refused(judge(answer.error, holder.node));
+			? toAnswer(answer.value, member)
+			: refusedAnswer(toGatewayError(answer.error, issuer.node));
 	};
 
-const callFor = (
+const createRedeemCall = (
 	request: GatewayRequest,
 	{settings, clock}: NodeContext,
 ): ForwardCall => {
@@ -61,20 +61,23 @@
 	return forwardCall(request, details, now);
 };
 
-// That the holder could not be reached proves nothing: it may have run the request before.
-const judge = (failure: AttemptFailure, node: string): GatewayError =>
-	failure.isStated ? failure.error : unreachable(node);
+// An unreachable issuer proves nothing: it may have run the request earlier.
+const toGatewayError = (failure: AttemptFailure, node: string): GatewayError =>
+	failure.isStated ? failure.error : unreachableIssuerError(node);
 
-const unreachable = (node: string): GatewayError =>
+const unreachableIssuerError = (node: string): GatewayError =>
 	createGatewayError(
 		'outcome-unknown',
-		`The request id was issued by node "${node}", which cannot be asked; the request may have run and is not run again`,
+		`The request id was issued by node "${node}", which cannot be reached; the request may have run and is not run again`,
 		{retryAfterSeconds: 5},
 	);
 
-const refused = (error: GatewayError): Answer => ({kind: 'refused', error});
+const refusedAnswer = (error: GatewayError): Answer => ({
+	kind: 'refused',
+	error,
+});
 
-const passOn = (upstream: UpstreamAnswer, member: Member): Answer => {
+const toAnswer = (upstream: UpstreamAnswer, member: Member): Answer => {
 	const headers = Object.fromEntries(
 		Object.entries(upstream.headers).filter(
 			(entry): entry is [string, string] =>
@@ -88,7 +91,7 @@
 		kind: 'stream',
 		status: upstream.status,
 		headers,
-		pieces: passPieces(upstream.body),
+		pieces: decodeBody(upstream.body),
 		servedBy: {
 			region: headers['x-quillford-region'] ?? '',
 			availabilityZone: member.availabilityZone,
@@ -99,7 +102,7 @@
 	};
 };
 
-async function* passPieces(
+async function* decodeBody(
 	body: AsyncIterable<Buffer>,
 ): AsyncGenerator<string, StreamEnd, void> {
 	const decoder = new TextDecoder();
@@ -112,7 +115,7 @@
 	} catch {
 		const error = createGatewayError(
 			'stream-broken',
-			'The node that runs the request broke off its answer',
+			'The node that runs the request aborted its answer',
 		);
 		return {kind: 'broken', tokens: 0, error};
 	}
--- a/src/node/recovery-controller.ts
+++ b/src/node/recovery-controller.ts
@@ -7,40 +7,40 @@
 import type {NodeContext} from './node-context.ts';
 
 /**
-Brings a node up to date after its start and after a pause.
+Synchronizes a node with its peers and the platform after its start and after a pause.
 */
 export type RecoveryController = Controller & {
 	/**
-	Resolves once the node is up to date, or once it has waited as long as it may.
+	Resolves once the node is up to date or the time limit of the recovery has elapsed.
 	*/
 	waitUntilRecovered(): Promise<void>;
 	isRecovering(): boolean;
 };
 
 /**
-What recovery is built from.
+Options of `createRecoveryController`.
 */
 export type RecoveryOptions = {
 	readonly context: NodeContext;
 	/**
-	Asks the platform for configuration and VM list.
+	Queries the platform for the configuration and the VM list.
 	*/
 	readonly queryPlatform: () => Promise<PlatformAnswer>;
 	readonly onMembers: (members: readonly Member[]) => void;
 	readonly onDigests: (digests: readonly DigestEntry[]) => void;
 	/**
-	Fetches the configuration of a peer that is ahead.
+	Fetches the configuration of a peer whose stamp is ahead.
 	*/
 	readonly onStamp: (stamp: ConfigurationStamp, from: Address) => Promise<void>;
 };
 
 /**
-After a pause requests wait at most this many milliseconds for word from outside.
+Maximum time that requests wait for the node to catch up after a pause, in milliseconds.
 */
 export const catchUpTimeoutMs = 1500;
 
 /**
-Peers asked at once, at the most.
+Maximum number of peers that are queried concurrently.
 */
 export const maximumPeersQueried = 3;
 
@@ -48,7 +48,7 @@
 	members.map(({peerAddress}) => peerAddress);
 
 /**
-Builds the controller.
+Creates the controller.
 */
 export const createRecoveryController = (
 	options: RecoveryOptions,
@@ -58,7 +58,7 @@
 	let recovery: Promise<void> = Promise.resolve();
 	let isRecovering = true;
 
-	const askPeer = async (peer: Address): Promise<void> => {
+	const syncWithPeer = async (peer: Address): Promise<void> => {
 		const state = await context.peers.readState(
 			peer,
 			settings.availabilityZone,
@@ -72,66 +72,72 @@
 		await options.onStamp(state.value.stamp, peer);
 	};
 
-	const peersToAsk = (): readonly Address[] => {
-		const own = settings.availabilityZone;
+	const selectPeers = (): readonly Address[] => {
+		const localZone = settings.availabilityZone;
 		const usable = membership.usable();
-		const near = addressesOf(
-			usable.filter(({availabilityZone}) => availabilityZone === own),
+		const zonePeers = addressesOf(
+			usable.filter(({availabilityZone}) => availabilityZone === localZone),
 		);
-		const far = addressesOf(
-			usable.filter(({availabilityZone}) => availabilityZone !== own),
+		const remotePeers = addressesOf(
+			usable.filter(({availabilityZone}) => availabilityZone !== localZone),
 		);
-		// What matters most, which servers are leaving, is known in the own zone only.
-		const all = new Set([...near, ...settings.seedPeers, ...far]);
-		all.delete(settings.peerAddress);
-		return [...all].slice(
+		// Peers in the local zone come first: only they know which servers are leaving.
+		const candidates = new Set([
+			...zonePeers,
+			...settings.seedPeers,
+			...remotePeers,
+		]);
+		candidates.delete(settings.peerAddress);
+		return [...candidates].slice(
 			0,
-			near.length > 0
-				? Math.min(near.length, maximumPeersQueried)
+			zonePeers.length > 0
+				? Math.min(zonePeers.length, maximumPeersQueried)
 				: maximumPeersQueried,
 		);
 	};
 
-	const askPlatform = async () => {
+	const queryPlatformOrThrow = async () => {
 		const answer = await options.queryPlatform();
 		if (answer === 'silent') {
-			throw new Error('the platform did not answer');
+			throw new Error('platform did not answer');
 		}
 	};
 
-	// Word from one peer is enough after a pause: peers share what matters within seconds.
+	// After a pause, the answer of one peer is sufficient: peers exchange the essential state within seconds.
 	const catchUp = async (): Promise<void> => {
-		const asked = peersToAsk();
-		const answers = asked.map(async (peer) => askPeer(peer));
-		const platform = askPlatform();
+		const selectedPeers = selectPeers();
+		const answers = selectedPeers.map(async (peer) => syncWithPeer(peer));
+		const platform = queryPlatformOrThrow();
 		try {
-			await (asked.length > 0 ? Promise.any(answers) : platform);
+			await (selectedPeers.length > 0 ? Promise.any(answers) : platform);
 		} catch {
 			await platform.catch(() => undefined);
 		}
 	};
 
-	// At a start, everyone is heard out within the bound: the platform may be stale, and a
-	// peer may know of a later configuration.
+	// At startup, the node waits for all selected peers within the time limit: the platform may be stale, and a peer may
+	// have a later configuration.
 	const join = async (): Promise<void> => {
-		await askPlatform().catch(() => undefined);
+		await queryPlatformOrThrow().catch(() => undefined);
 		const answers = await Promise.allSettled(
-			peersToAsk().map(async (peer) => askPeer(peer)),
+			selectPeers().map(async (peer) => syncWithPeer(peer)),
 		);
-		const heard = answers.filter(({status}) => status === 'fulfilled').length;
+		const answeredPeers = answers.filter(
+			({status}) => status === 'fulfilled',
+		).length;
 		logger.info(
-			{heard, version: context.configuration.stamp().version},
-			'joined',
+			{heard: answeredPeers, version: context.configuration.stamp().version},
+			'node joined',
 		);
 	};
 
-	const run = (step: () => Promise<void>, boundMs: number) => {
+	const run = (step: () => Promise<void>, timeoutMs: number) => {
 		isRecovering = true;
 		let timer: NodeJS.Timeout | undefined;
-		const bound = new Promise<void>((resolve) => {
-			timer = setTimeout(resolve, boundMs);
+		const timeout = new Promise<void>((resolve) => {
+			timer = setTimeout(resolve, timeoutMs);
 		});
-		recovery = Promise.race([step(), bound]).finally(() => {
+		recovery = Promise.race([step(), timeout]).finally(() => {
 			clearTimeout(timer);
 			isRecovering = false;
 		});
--- a/src/node/request-path.ts
+++ b/src/node/request-path.ts
@@ -38,7 +38,7 @@
 import {createPermitIssuerCall} from './permit-issuer-call.ts';
 
 /**
-What requests pass on their way through a node.
+The components that process requests on a node.
 */
 export type RequestPath = {
 	readonly chain: RequestChain;
@@ -54,25 +54,25 @@
 };
 
 /**
-What requests wait for before they begin.
+Conditions that requests wait for before they start.
 */
 export type RequestGate = {
 	/**
-	Why this node takes no request now; undefined where it does.
+	Resolves to the reason why this node accepts no requests, or undefined if it accepts them.
 	*/
 	readiness(): Promise<GatewayError | undefined>;
 	/**
-	Resolves once the node knows again what happened while it stood still.
+	Resolves once the node has caught up after a pause.
 	*/
 	waitUntilUpToDate(): Promise<void>;
 	/**
-	Whether it knows that now; false after a pause until it has caught up.
+	Returns false from a pause until the node has caught up.
 	*/
 	isUpToDate(): boolean;
 };
 
 /**
-What the path of requests shares with the rest of the node.
+Dependencies that the request path shares with the other parts of the node.
 */
 export type RequestPathDependencies = {
 	readonly quarantine: Quarantine;
@@ -85,7 +85,7 @@
 const secretBytes = 32;
 
 /**
-Builds the path of one node.
+Creates the request path of one node.
 */
 export const createRequestPath = (
 	core: NodeCore,
@@ -169,12 +169,12 @@
 			findSummary(context.digests, zone, service, now),
 	});
 
-type ExecutorParts = Pick<RequestPath, 'chooser' | 'capacity'> &
+type ExecutorDependencies = Pick<RequestPath, 'chooser' | 'capacity'> &
 	Pick<RequestPathDependencies, 'quarantine' | 'statements'> & {
 		readonly gate: Pick<RequestGate, 'waitUntilUpToDate' | 'isUpToDate'>;
 		readonly backendLimits: RequestLimits;
 		/**
-		Tells the attempts of this life of the node from those of earlier ones.
+		Distinguishes the attempts of this incarnation of the node from those of earlier incarnations.
 		*/
 		readonly epoch: string;
 	};
@@ -189,11 +189,11 @@
 		quarantine,
 		backendLimits,
 		statements,
-	}: ExecutorParts,
+	}: ExecutorDependencies,
 ): RequestExecutor => {
 	const {settings, clock, fleet, peers, logger} = context;
 	const budget = createRetryBudget();
-	let issued = 0;
+	let attemptCount = 0;
 	const attempts = createAttempts({
 		clock,
 		chooser,
@@ -205,8 +205,8 @@
 		quarantine: createRequestQuarantine(quarantine, fleet, clock),
 		limits: backendLimits,
 		issueAttemptId() {
-			issued += 1;
-			return `${settings.nodeId}.${epoch}.${issued.toString(36)}`;
+			attemptCount += 1;
+			return `${settings.nodeId}.${epoch}.${attemptCount.toString(36)}`;
 		},
 		statements,
 		waitUntilUpToDate: gate.waitUntilUpToDate,
--- a/src/node/vm-list-controller.ts
+++ b/src/node/vm-list-controller.ts
@@ -6,17 +6,17 @@
 import type {NodeContext} from './node-context.ts';
 
 /**
-Reads the VM list for its zone.
+Reads the VM list from the platform on behalf of the zone.
 */
 export type VmListController = Controller & {
 	/**
-	Reads the list once, on every node, not only the one that reads it for its zone.
+	Reads the list once, on any node, not only on those that read it for their zone.
 	*/
-	ask(): Promise<PlatformAnswer>;
+	queryPlatform(): Promise<PlatformAnswer>;
 };
 
 /**
-What the controller tells others.
+Callbacks of the controller.
 */
 export type VmListListeners = {
 	readonly onEntryVms: (entryVms: readonly Member[]) => void;
@@ -24,12 +24,12 @@
 };
 
 /**
-Milliseconds between two reads of the list.
+Interval between two reads of the list, in milliseconds.
 */
 export const vmListIntervalMs = 1000;
 
 /**
-Builds the controller.
+Creates the controller.
 */
 export const createVmListController = (
 	context: NodeContext,
@@ -37,9 +37,9 @@
 ): VmListController => {
 	const {membership, fleet, platform} = context;
 	let nextAt = 0;
-	let isAsking = false;
+	let isQuerying = false;
 
-	const take = (vms: readonly ListedVm[]) => {
+	const applyList = (vms: readonly ListedVm[]) => {
 		listeners.onEntryVms(
 			vms.filter((vm) => vm.kind === 'entry').map((vm) => toMember(vm)),
 		);
@@ -53,12 +53,12 @@
 		}
 	};
 
-	const ask = async (): Promise<PlatformAnswer> => {
-		isAsking = true;
+	const queryPlatform = async (): Promise<PlatformAnswer> => {
+		isQuerying = true;
 		const read = await platform.readVmList();
-		isAsking = false;
+		isQuerying = false;
 		if (read.isOk) {
-			take(read.value);
+			applyList(read.value);
 		}
 
 		return read.isOk ? 'answered' : 'silent';
@@ -66,10 +66,10 @@
 
 	return {
 		name: 'vm-list',
-		ask,
+		queryPlatform,
 		tick(now) {
 			if (
-				isAsking ||
+				isQuerying ||
 				now < nextAt ||
 				!hasRole('vm-list', membership.self(), membership.members())
 			) {
@@ -77,7 +77,7 @@
 			}
 
 			nextAt = now + vmListIntervalMs;
-			void ask();
+			void queryPlatform();
 		},
 	};
 };
--- a/tests/node/node-quarantine.test.ts
+++ b/tests/node/node-quarantine.test.ts
@@ -8,11 +8,12 @@
 import {engineIncarnationId} from '../../src/requests/index.ts';
 import {fixedRandom} from '../fixtures.ts';
 
-// A node whose engine says, or does not say, what runs at its address after a connection broke.
+// Breaks a connection to an engine and returns the number of crashes that the node counts. `answer` is the process state
+// that the node reads from the engine's address afterwards.
 const crashesAfter = async (
 	incarnationId: string,
 	answer: EngineProcessState,
-	restLeftMs = 0,
+	backoffRemainingMs = 0,
 ): Promise<number> => {
 	const core = {
 		context: {
@@ -22,7 +23,7 @@
 					configuration: {backendServers: [{id: 'engine', address: 'there'}]},
 				}),
 			},
-			fleet: {backoffRemainingMs: () => restLeftMs},
+			fleet: {backoffRemainingMs: () => backoffRemainingMs},
 			logger: silentLogger,
 			membership: {usable: () => []},
 			settings: {nodeId: 'node'},
@@ -47,7 +48,7 @@
 
 const incarnationId = engineIncarnationId('engine', 'first');
 
-test('an engine has crashed where nobody listens, or another process of it does', async (t: TestContext) => {
+test('a refused connection or a different incarnation counts as a crash', async (t: TestContext) => {
 	t.assert.strictEqual(await crashesAfter(incarnationId, {kind: 'gone'}), 1);
 	t.assert.strictEqual(
 		await crashesAfter(incarnationId, {kind: 'running', incarnation: 'second'}),
@@ -55,7 +56,7 @@
 	);
 });
 
-test('one that runs on, says nothing, or had not told its name has not', async (t: TestContext) => {
+test('the same incarnation, no answer or an unknown earlier incarnation does not count as a crash', async (t: TestContext) => {
 	const running = {kind: 'running', incarnation: 'first'} as const;
 	t.assert.strictEqual(await crashesAfter(incarnationId, running), 0);
 	t.assert.strictEqual(await crashesAfter(incarnationId, {kind: 'silent'}), 0);
@@ -65,7 +66,7 @@
 	);
 });
 
-test('an engine that rests is not asked whether it lives', async (t: TestContext) => {
+test('an engine in backoff is not probed for a crash', async (t: TestContext) => {
 	t.assert.strictEqual(
 		await crashesAfter(incarnationId, {kind: 'gone'}, 1000),
 		0,
