--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -11,8 +11,8 @@
 	type MembershipParameters,
 } from '../membership/index.ts';
 import {createMembershipController} from '../node/membership-controller.ts';
-// Not by way of the folder's index: that loads the listener for typed calls, which takes a third of
-// the memory of an idle node and is not used here.
+// These are imported directly because the index of the folder also loads the listener for typed calls, which takes a third
+// of the memory of an idle node and is not used here.
 import {createHeartbeatCodec} from '../peers/heartbeat-codec.ts';
 import {createSealer} from '../peers/seal.ts';
 import {
@@ -33,7 +33,7 @@
 } from '../shared/index.ts';
 
 /**
-What a mesh is built from.
+Options of `createMesh`.
 */
 export type MeshOptions = {
 	readonly id: string;
@@ -42,61 +42,61 @@
 	readonly callerAddress: Address;
 	readonly regionOf: (availabilityZone: string) => string;
 	/**
-	What this node has of the registry; travels with every heartbeat.
+	Returns the registry state of this node; sent with every heartbeat.
 	*/
 	readonly registryStamp: () => RegistryStamp;
 	readonly onRegistryStamp: (stamp: RegistryStamp, from: Address) => void;
 	/**
-	Told what another node tells beside heartbeats.
+	Called with each message of another node other than a heartbeat.
 	*/
 	readonly onMessage: (message: PeerMessage) => void;
 	readonly clock: () => number;
 	/**
-	Milliseconds since the epoch; may jump.
+	Milliseconds since the Unix epoch; not monotonic.
 	*/
 	readonly wallClock: () => number;
 	readonly logger: Logger;
 };
 
 /**
-A node's view of the other nodes, kept by heartbeats.
+A node's view of the other nodes, maintained by heartbeats.
 */
 export type Mesh = {
 	start(): Promise<void>;
 	stop(): Promise<void>;
 	tick(now: number): void;
 	/**
-	Takes in what another node knows.
+	Merges the members that another node knows.
 	*/
 	mergeMembers(members: readonly Member[]): void;
 	/**
-	Tells some nodes at once, because there is news.
+	Sends heartbeats to some nodes immediately to propagate a change.
 	*/
 	announce(): void;
 	leave(): void;
 	self(): Member;
 	/**
-	All nodes ever heard of but this one.
+	All known members except this node, including dead and leaving members.
 	*/
 	others(): readonly Member[];
 	/**
-	Other nodes of a region that can be given work.
+	Other nodes of a region that can serve requests.
 	*/
 	usableIn(region: string): readonly Member[];
 	usable(): readonly Member[];
 	/**
-	Whether a node has begun to leave so lately that it still takes callers.
+	Whether a node started to leave so recently that it still accepts callers.
 	*/
 	isRecentlyLeaving(member: Member): boolean;
 	/**
-	States the load of a zone's services, if this node is the one of its zone to do so.
+	Publishes the load of the services in the zone of this node, if this node is the reporter of its zone.
 	*/
 	publishLoad(
 		services: Readonly<Record<string, ZoneServiceSummary>>,
 		now: number,
 	): void;
 	/**
-	The latest load of a service in a zone.
+	Returns the latest load of a service in a zone.
 	*/
 	loadIn(
 		availabilityZone: string,
@@ -104,15 +104,15 @@
 		now: number,
 	): ZoneServiceSummary | undefined;
 	/**
-	Tells nodes something; what is lost on the way is not sent again.
+	Sends a message to other nodes. Delivery is best effort: lost datagrams are not sent again.
 	*/
 	send(members: readonly Member[], message: PeerMessage): void;
 	lastReceivedAt(): number | undefined;
 };
 
 /**
-Periods of the failure detector among these nodes. They are shorter than the defaults: a directory
-may name a dead node for some seconds only.
+Parameters of the failure detector. The periods are shorter than the defaults because a directory may list a dead node
+for a few seconds at most.
 */
 export const meshParameters: MembershipParameters = {
 	probeIntervalMs: 400,
@@ -125,29 +125,29 @@
 };
 
 /**
-Loads older than this are not used, in milliseconds.
+Maximum age of a load that is used, in milliseconds.
 */
 export const loadRetentionMs = 5000;
 
 /**
-How long a node that leaves is named to callers where there is no other in its region, in milliseconds:
-it takes them for a second longer.
+Time for which a leaving node is still advertised to callers if its region has no other node, in milliseconds. The node
+accepts callers for one second longer.
 */
 export const leavingAdvertisedMs = 3300;
 
 /**
-A node that started so lately is told of nodes that left long ago, and cannot tell them from those
-that leave now, in milliseconds.
+Time after its start during which a node treats leaving members as gone, in milliseconds. In this time it receives entries
+of nodes that left long ago and cannot distinguish them from nodes that are leaving now.
 */
-export const newcomerMs = 2500;
+export const leavingUnknownMs = 2500;
 
 const seedRange = 2 ** 31;
 
-// The platform gives nodes no shared secret; the seal guards against stray datagrams only.
+// The platform provides no shared secret for nodes; the seal only protects against stray datagrams.
 const sealKey = 'quillford-mesh';
 
 /**
-Builds a mesh; nothing is sent before `start`.
+Creates a mesh; nothing is sent before `start`.
 */
 export const createMesh = (options: MeshOptions): Mesh => {
 	const {clock} = options;
@@ -177,9 +177,9 @@
 	});
 	const startedAt = clock();
 	const leavingSince = new Map<string, number>();
-	// A restart of the node is another change, which ends its leaving.
-	const noteLeaving = ({id, status}: Member) => {
-		if (status === 'leaving' && clock() - startedAt >= newcomerMs) {
+	// A node that restarts causes another change, which clears its leaving state.
+	const trackLeaving = ({id, status}: Member) => {
+		if (status === 'leaving' && clock() - startedAt >= leavingUnknownMs) {
 			leavingSince.set(id, clock());
 		} else {
 			leavingSince.delete(id);
@@ -204,7 +204,7 @@
 			onStamp(stamp, from) {
 				options.onRegistryStamp(decodeRegistryStamp(stamp), from);
 			},
-			onChanged: noteLeaving,
+			onChanged: trackLeaving,
 			onOtherDatagram(datagram) {
 				const message = messageCodec.decode(datagram);
 				if (message) {
@@ -214,17 +214,22 @@
 		},
 	);
 
-	const isSpeaker = (): boolean => {
+	const isZoneReporter = (): boolean => {
 		const self = membership.self();
-		const inZone = [self, ...membership.members()].filter(
+		const zoneNodes = [self, ...membership.members()].filter(
 			({availabilityZone, status}) =>
 				status === 'alive' && availabilityZone === self.availabilityZone,
 		);
-		const first = rendezvousFirst(self.availabilityZone, inZone, ({id}) => id);
+		const first = rendezvousFirst(
+			self.availabilityZone,
+			zoneNodes,
+			({id}) => id,
+		);
 		return first?.id === self.id;
 	};
 
-	// Asked for at each choice and each tick, by readers that may keep what they derive from the same lists.
+	// These lists are read at each routing decision and each tick. They are cached so that readers can cache values derived
+	// from the same lists.
 	const usable = createDerived(membership.members, (members) =>
 		members.filter(({status}) => status === 'alive'),
 	);
@@ -262,7 +267,7 @@
 			clock() - (leavingSince.get(id) ?? -Infinity) < leavingAdvertisedMs,
 		usableIn: (region) => usableByRegion().get(region) ?? [],
 		publishLoad(services, now) {
-			if (!isSpeaker()) {
+			if (!isZoneReporter()) {
 				return;
 			}
 
--- a/src/mesh/peer-client.ts
+++ b/src/mesh/peer-client.ts
@@ -13,12 +13,11 @@
 import {knownViewHeader, peerPaths} from './peer-listener.ts';
 
 /**
-Questions to other nodes.
+Client for HTTP calls to other nodes.
 */
 export type PeerClient = {
 	/**
-	The members that a node knows; none where its view is the one that is known already, undefined
-	where it does not answer.
+	Returns the members that a peer knows: an empty list if its view matches `knownView`, undefined if it does not answer.
 	*/
 	members(
 		peer: Address,
@@ -29,36 +28,35 @@
 		after: RegistryPosition,
 	): Promise<RegistryAnswer>;
 	/**
-	What came after a position, held while there is nothing; undefined where the node does not
-	answer.
+	Returns the registry changes after a position by long polling; undefined if the peer does not answer.
 	*/
 	relayedAfter(
 		peer: Address,
 		after: RegistryPosition,
 	): Promise<RelayedAnswer | undefined>;
 	/**
-	What changed in a node's map of prompts; undefined where the node does not answer.
+	Returns the changes in a peer's map of cached prompts by long polling; undefined if the peer does not answer.
 	*/
 	promptsAfter(
 		peer: Address,
-		question: FeedQuery,
+		query: FeedQuery,
 	): Promise<FeedAnswer | undefined>;
 	close(): Promise<void>;
 };
 
 /**
-How long another node may take to answer, in milliseconds: some round trips between regions.
+Timeout of a call to another node, in milliseconds: several round trips between regions.
 */
 export const peerCallTimeoutMs = 700;
 
 /**
-How much longer than it may be held a question to a relay of the zone takes at most, in
-milliseconds: a few turns of a busy node.
+Time that a call to a relay in the zone may take beyond the long-poll time, in milliseconds: a few event loop iterations
+of a busy node.
 */
 export const relayMarginMs = 300;
 
 /**
-Builds the questions of one node.
+Creates the client of one node.
 */
 export const createPeerClient = (): PeerClient => {
 	const dispatcher = new Agent({
@@ -66,7 +64,7 @@
 		connections: 4,
 	});
 
-	const ask = async (
+	const fetchPacked = async (
 		peer: Address,
 		path: string,
 		timeoutMs = peerCallTimeoutMs,
@@ -79,7 +77,7 @@
 		});
 		const bytes = await body.bytes();
 		if (statusCode !== 200) {
-			throw new Error(`the node answered ${statusCode}`);
+			throw new Error(`peer answered with status ${statusCode}`);
 		}
 
 		return unpack(bytes);
@@ -88,7 +86,7 @@
 	return {
 		async members(peer, knownView) {
 			try {
-				return (await ask(peer, peerPaths.members, peerCallTimeoutMs, {
+				return (await fetchPacked(peer, peerPaths.members, peerCallTimeoutMs, {
 					[knownViewHeader]: knownView,
 				})) as readonly Member[];
 			} catch {
@@ -97,7 +95,7 @@
 		},
 		async registryAfter(peer, after) {
 			try {
-				return (await ask(
+				return (await fetchPacked(
 					peer,
 					`${peerPaths.registry}?${queryOf(after)}`,
 				)) as RegistryAnswer;
@@ -107,7 +105,7 @@
 		},
 		async relayedAfter(peer, after) {
 			try {
-				return (await ask(
+				return (await fetchPacked(
 					peer,
 					`${peerPaths.relay}?${queryOf(after)}`,
 					relayLongPollMs + relayMarginMs,
@@ -118,7 +116,7 @@
 		},
 		async promptsAfter(peer, {scope, epoch, after}) {
 			try {
-				return (await ask(
+				return (await fetchPacked(
 					peer,
 					`${peerPaths.prompts}?scope=${scope}&epoch=${epoch}&after=${after}`,
 					feedLongPollMs + peerCallTimeoutMs,
@@ -131,6 +129,6 @@
 	};
 };
 
-// Nodes of versions without eras read the revision only.
+// Nodes of versions without eras read only the revision.
 const queryOf = ({era, revision}: RegistryPosition): string =>
 	`after=${revision}&era=${era}`;
--- a/src/mesh/peer-listener.ts
+++ b/src/mesh/peer-listener.ts
@@ -24,39 +24,39 @@
 	relay: '/quillford/registry-relay',
 	prompts: '/quillford/prompts',
 	/**
-	Answers nothing: the connection is what is wanted.
+	Returns no content; used to open a connection in advance.
 	*/
 	rest: '/quillford/rest',
 } as const;
 
 /**
-Header in which a node that asks for members names its own view of them. Nodes of versions without it
-neither send nor heed it, and are told everything.
+Header with the fingerprint of the member view of the calling node. Nodes of versions without this header neither send nor
+evaluate it, and receive all members.
 */
 export const knownViewHeader = 'quillford-known-view';
 
 /**
-Answers other nodes.
+An HTTP listener for calls of other nodes.
 */
 export type PeerListener = {close(): Promise<void>};
 
 /**
-What a listener for other nodes is built from.
+Options of `startPeerListener`.
 */
 export type PeerListenerOptions = {
 	/**
-	Where it listens; seeds may name another address than the one between nodes.
+	Addresses to listen on; the address that seeds use may differ from the peer address.
 	*/
 	readonly addresses: readonly Address[];
 	readonly members: () => readonly Member[];
 	readonly registryAfter: (after: RegistryCursor) => RegistryAnswer;
 	/**
-	Like `registryAfter`, but held while there is nothing.
+	Like `registryAfter`, but waits for a change (long polling).
 	*/
 	readonly relayedAfter: (after: RegistryCursor) => Promise<RelayedAnswer>;
-	readonly promptsAfter: (question: FeedQuery) => Promise<FeedAnswer>;
+	readonly promptsAfter: (query: FeedQuery) => Promise<FeedAnswer>;
 	/**
-	Takes any other request: those that nodes forward.
+	Handles all other requests, which are the requests that nodes forward.
 	*/
 	readonly onForwarded: (
 		request: IncomingMessage,
@@ -64,11 +64,11 @@
 	) => void;
 };
 
-const noContent = 204;
-const notFound = 404;
+const noContentStatus = 204;
+const notFoundStatus = 404;
 
 /**
-Starts listening at all addresses.
+Starts listening on all addresses.
 */
 export const startPeerListener = async (
 	options: PeerListenerOptions,
@@ -77,7 +77,7 @@
 		const target = request.url ?? '';
 		if (target === peerPaths.members) {
 			const known = request.headers[knownViewHeader];
-			sendPacked(response, membersBeyond(options.members(), known));
+			sendPacked(response, membersUnlessKnown(options.members(), known));
 			return;
 		}
 
@@ -87,22 +87,22 @@
 		}
 
 		if (target.startsWith(`${peerPaths.relay}?`)) {
-			void sendLater(response, options.relayedAfter(cursorOf(target)));
+			void sendWhenReady(response, options.relayedAfter(cursorOf(target)));
 			return;
 		}
 
 		if (target.startsWith(`${peerPaths.prompts}?`)) {
-			void sendLater(response, options.promptsAfter(feedQuestionOf(target)));
+			void sendWhenReady(response, options.promptsAfter(feedQueryOf(target)));
 			return;
 		}
 
 		if (target === peerPaths.rest) {
-			response.writeHead(noContent).end();
+			response.writeHead(noContentStatus).end();
 			return;
 		}
 
 		if (target.startsWith('/quillford/')) {
-			response.writeHead(notFound).end();
+			response.writeHead(notFoundStatus).end();
 			return;
 		}
 
@@ -127,7 +127,7 @@
 	answer: (request: IncomingMessage, response: ServerResponse) => void,
 ): Promise<Server> => {
 	const server = createServer(
-		{keepAliveTimeout: idleMs, noDelay: true},
+		{keepAliveTimeout: idleTimeoutMs, noDelay: true},
 		answer,
 	);
 	const {host, port} = splitAddress(address);
@@ -138,17 +138,17 @@
 	return server;
 };
 
-// How long connections between nodes rest, in milliseconds.
-const idleMs = 30_000;
-// New connections that may wait to be taken; a full queue costs a caller seconds.
+// Time after which idle connections between nodes are closed, in milliseconds.
+const idleTimeoutMs = 30_000;
+// Maximum number of connections that wait to be accepted; a full queue delays a caller by seconds.
 const backlog = 1024;
 
 const queryOf = (target: string): URLSearchParams =>
 	new URLSearchParams(target.slice(target.indexOf('?')));
 
-// A node that has the same view needs to be told nothing: lists grow with the number of nodes, and are
-// asked for all the time.
-const membersBeyond = (
+// Returns no members to a node with the same view, because lists grow with the number of nodes and are requested
+// continuously.
+const membersUnlessKnown = (
 	members: readonly Member[],
 	knownView: string | string[] | undefined,
 ): readonly Member[] => (knownView === viewFingerprint(members) ? [] : members);
@@ -162,7 +162,7 @@
 	};
 };
 
-const feedQuestionOf = (target: string): FeedQuery => {
+const feedQueryOf = (target: string): FeedQuery => {
 	const query = queryOf(target);
 	return {
 		scope: query.get('scope') === 'zone' ? 'zone' : 'all',
@@ -171,7 +171,7 @@
 	};
 };
 
-const sendLater = async (
+const sendWhenReady = async (
 	response: ServerResponse,
 	answer: Promise<RelayedAnswer | FeedAnswer>,
 ) => {
--- a/tests/mesh/mesh.test.ts
+++ b/tests/mesh/mesh.test.ts
@@ -4,7 +4,7 @@
 import {
 	createMesh,
 	leavingAdvertisedMs,
-	newcomerMs,
+	leavingUnknownMs,
 } from '../../src/mesh/index.ts';
 import {memberOf} from '../fixtures.ts';
 
@@ -28,47 +28,47 @@
 		wallClock: () => 1000,
 		logger: createLogger('test', {}),
 	});
-	const hear = (change: Partial<Member>) => {
+	const receive = (change: Partial<Member>) => {
 		mesh.mergeMembers([memberOf('b1', 'b', {incarnation: 1, ...change})]);
 	};
 
 	return {
 		mesh,
-		hear,
-		pass(milliseconds: number) {
+		receive,
+		advance(milliseconds: number) {
 			now += milliseconds;
 		},
-		isLeavingLately: () =>
+		isRecentlyLeaving: () =>
 			mesh.others().some((member) => mesh.isRecentlyLeaving(member)),
 	};
 };
 
-test('a node that leaves is still named for a while, and not after a restart', (t: TestContext) => {
-	const {hear, pass, isLeavingLately} = setUp();
-	pass(newcomerMs);
-	hear({});
-	t.assert.strictEqual(isLeavingLately(), false);
-	hear({status: 'leaving', revision: 1});
-	t.assert.strictEqual(isLeavingLately(), true);
-	pass(leavingAdvertisedMs - 1);
-	t.assert.strictEqual(isLeavingLately(), true);
-	pass(1);
-	t.assert.strictEqual(isLeavingLately(), false);
-	hear({incarnation: 2});
-	t.assert.strictEqual(isLeavingLately(), false);
+test('a leaving node stays recently leaving for a limited time, and not after a restart', (t: TestContext) => {
+	const {receive, advance, isRecentlyLeaving} = setUp();
+	advance(leavingUnknownMs);
+	receive({});
+	t.assert.strictEqual(isRecentlyLeaving(), false);
+	receive({status: 'leaving', revision: 1});
+	t.assert.strictEqual(isRecentlyLeaving(), true);
+	advance(leavingAdvertisedMs - 1);
+	t.assert.strictEqual(isRecentlyLeaving(), true);
+	advance(1);
+	t.assert.strictEqual(isRecentlyLeaving(), false);
+	receive({incarnation: 2});
+	t.assert.strictEqual(isRecentlyLeaving(), false);
 });
 
-test('a node that has just started takes those that leave for gone', (t: TestContext) => {
-	const {hear, pass, isLeavingLately} = setUp();
-	pass(newcomerMs - 1);
-	hear({status: 'leaving', revision: 1});
-	t.assert.strictEqual(isLeavingLately(), false);
+test('a node that has just started treats leaving members as gone', (t: TestContext) => {
+	const {receive, advance, isRecentlyLeaving} = setUp();
+	advance(leavingUnknownMs - 1);
+	receive({status: 'leaving', revision: 1});
+	t.assert.strictEqual(isRecentlyLeaving(), false);
 });
 
-test('a node that leaves itself still names itself for a while', (t: TestContext) => {
-	const {mesh, pass} = setUp();
+test('a node that is leaving stays recently leaving in its own view for a limited time', (t: TestContext) => {
+	const {mesh, advance} = setUp();
 	mesh.leave();
 	t.assert.strictEqual(mesh.isRecentlyLeaving(mesh.self()), true);
-	pass(leavingAdvertisedMs);
+	advance(leavingAdvertisedMs);
 	t.assert.strictEqual(mesh.isRecentlyLeaving(mesh.self()), false);
 });
--- a/tests/mesh/peer-listener.test.ts
+++ b/tests/mesh/peer-listener.test.ts
@@ -41,28 +41,31 @@
 	};
 };
 
-test('members are told to a node with another view, and none to one with the same', async (t: TestContext) => {
-	const ask = await start(t);
-	const told = async (knownView: string) => {
-		const {bytes} = await ask(peerPaths.members, {
+test('a node with a different view receives all members, and a node with the same view receives none', async (t: TestContext) => {
+	const fetchFrom = await start(t);
+	const memberCountFor = async (knownView: string) => {
+		const {bytes} = await fetchFrom(peerPaths.members, {
 			[knownViewHeader]: knownView,
 		});
 		return (unpack(bytes) as readonly unknown[]).length;
 	};
 
-	t.assert.strictEqual(await told('other'), 2);
-	t.assert.strictEqual(await told(viewFingerprint(members.toReversed())), 0);
+	t.assert.strictEqual(await memberCountFor('other'), 2);
+	t.assert.strictEqual(
+		await memberCountFor(viewFingerprint(members.toReversed())),
+		0,
+	);
 });
 
-test('a node of an older version, which names no view, is told all members', async (t: TestContext) => {
-	const ask = await start(t);
-	const {status, bytes} = await ask(peerPaths.members);
+test('a node of an older version that sends no view receives all members', async (t: TestContext) => {
+	const fetchFrom = await start(t);
+	const {status, bytes} = await fetchFrom(peerPaths.members);
 	t.assert.strictEqual(status, 200);
 	t.assert.strictEqual((unpack(bytes) as readonly unknown[]).length, 2);
 });
 
-test('a call that only opens a connection is answered with nothing', async (t: TestContext) => {
-	const ask = await start(t);
-	const {status, bytes} = await ask(peerPaths.rest);
+test('a call that only opens a connection is answered without content', async (t: TestContext) => {
+	const fetchFrom = await start(t);
+	const {status, bytes} = await fetchFrom(peerPaths.rest);
 	t.assert.deepStrictEqual([status, bytes.length], [204, 0]);
 });
