--- a/src/engines/engine-client.ts
+++ b/src/engines/engine-client.ts
@@ -10,7 +10,7 @@
 import {withdrawnCode, withdrawUnless} from './withdraw-unless.ts';
 
 /**
-A request as it is sent to a backend server.
+A request to a backend server.
 */
 export type BackendCall = {
 	readonly method: string;
@@ -21,28 +21,28 @@
 	readonly headers: Readonly<Record<string, string>>;
 	readonly body: Buffer;
 	/**
-	Names this attempt; the server repeats it in its answer.
+	Identifies this attempt; the server echoes the id in its answer.
 	*/
 	readonly attemptId: string;
 	readonly priority: number;
 	/**
-	Tokens that the caller has already; the server goes on after them.
+	Number of tokens that the caller has already received; the server resumes after them.
 	*/
 	readonly resumeFrom: number;
 	readonly signal: AbortSignal;
 	/**
-	Asked just before the first byte is written, for the call may have waited for a connection; nothing is sent where it
-	returns false.
+	Called immediately before the first byte is written, because the call may have waited for a connection. If it returns
+	false, nothing is sent.
 	*/
 	readonly canBegin: () => boolean;
 	/**
-	Told the head of the server's answer, whatever it amounts to.
+	Called with the head of each answer of the server, whether or not the answer is accepted.
 	*/
 	readonly onHead: (head: EngineHead) => void;
 };
 
 /**
-The head of an answer of a backend server.
+The status and headers of an answer of a backend server.
 */
 export type EngineHead = {
 	readonly status: number;
@@ -50,7 +50,7 @@
 };
 
 /**
-The beginning of an answer; the body follows as it arrives.
+An answer whose body is streamed as it arrives.
 */
 export type UpstreamAnswer = {
 	readonly status: number;
@@ -59,7 +59,7 @@
 };
 
 /**
-What a load report says, with whether the server is leaving.
+A load report with the shutdown state of the server and the age of the report.
 */
 export type EngineStatus = LoadReport & {
 	readonly isLeaving: boolean;
@@ -67,34 +67,37 @@
 };
 
 /**
-What runs at the address of an engine.
+The state of the process at the address of an engine.
 */
 export type EngineProcessState =
 	| {
 			readonly kind: 'running';
 			/**
-			Names the engine process.
+			Identifies the engine process.
 			*/
 			readonly incarnation: string;
 	  }
 	/**
-	Nobody listens there.
+	The connection was refused: no process listens at the address.
 	*/
 	| {readonly kind: 'gone'}
+	/**
+	The state is unknown because the process gave no valid answer.
+	*/
 	| {readonly kind: 'silent'};
 
 type ReadFailure = {
 	/**
-	Whether nobody listens at the address.
+	Whether the connection was refused because no process listens at the address.
 	*/
 	readonly isRefused: boolean;
 	readonly reason: string;
 };
 
 /**
- Talks to backend servers: model engines and plain services.
+ Client for backend servers: model engines and plain services.
  
- Every call asks for proof that residency was checked for the server's region.
+ Each request requires a `ClearedRegion` as proof that residency was checked for the region of the server.
  */
 export type EngineClient = {
 	send(
@@ -107,34 +110,34 @@
 		onHead: (head: EngineHead) => void,
 	): Promise<Result<EngineStatus, string>>;
 	/**
-	Asks what runs at an address now.
+	Determines the current state of the process at an address.
 	*/
 	readProcessState(address: Address): Promise<EngineProcessState>;
 	close(): Promise<void>;
 };
 
 /**
-Header by which a backend server states that it did not begin a request.
+Header by which a backend server states that it did not start a request.
 */
 export const notRunHeader = 'x-not-run';
 
 /**
-Header by which a backend server in need names the requests a second, a decimal number, that it takes from all nodes
-together.
+Header by which an overloaded backend server states its rate limit: the requests per second, a decimal number, that it
+accepts from all nodes together.
 */
 export const limitHeader = 'x-requests-per-second';
 
 /**
-Header by which a backend server that is shutting down says so: `1`.
+Header by which a backend server announces its shutdown: `1`.
 */
 export const leavingHeader = 'x-leaving';
 
 /**
-Header that carries the attempt id to the server and back.
+Header with the attempt id, in requests to a backend server and in its answers.
 */
 export const attemptHeader = 'x-attempt-id';
 
-const statusBody = z.object({
+const statusSchema = z.object({
 	running: z.number(),
 	queued: z.number(),
 	slots: z.number(),
@@ -143,12 +146,12 @@
 	ageMs: z.number().default(0),
 });
 
-const refusedCode = 'ECONNREFUSED';
+const connectionRefusedCode = 'ECONNREFUSED';
 const connectTimeoutMs = 1000;
 const statusTimeoutMs = 1000;
 
 /**
-Builds a client with its own pool of connections.
+Creates a client with its own connection pool.
 */
 export const createEngineClient = (
 	translate: (address: Address) => Address,
@@ -156,7 +159,7 @@
 	const dispatcher = new Agent({
 		connect: {timeout: connectTimeoutMs},
 		connections: 512,
-		// Time bounds belong to requests, whose deadlines abort them; a long stream is no fault.
+		// The pool sets no time limits because requests are aborted at their deadlines, and long streams are legitimate.
 		headersTimeout: 0,
 		bodyTimeout: 0,
 	});
@@ -172,7 +175,7 @@
 				dispatcher,
 				signal: AbortSignal.timeout(statusTimeoutMs),
 			});
-			onHead(headOf(answer));
+			onHead(responseHeadOf(answer));
 			const parsed = schema.safeParse(await answer.body.json());
 			return parsed.success
 				? Result.ok<Body, ReadFailure>(parsed.data)
@@ -182,7 +185,7 @@
 					});
 		} catch (error) {
 			const {code, message} = error as NodeJS.ErrnoException;
-			const isRefused = code === refusedCode;
+			const isRefused = code === connectionRefusedCode;
 			return Result.err<Body, ReadFailure>({isRefused, reason: message});
 		}
 	};
@@ -205,18 +208,18 @@
 						signal: call.signal,
 					},
 				);
-				call.onHead(headOf(answer));
-				return await judgeAnswer(answer, call.attemptId);
+				call.onHead(responseHeadOf(answer));
+				return await checkAnswer(answer, call.attemptId);
 			} catch (error) {
 				return Result.err(failureOf(error as Error));
 			}
 		},
 		async readStatus(address, onHead) {
-			const status = await readJson(address, '/load', statusBody, onHead);
+			const status = await readJson(address, '/load', statusSchema, onHead);
 			return status.mapErr(({reason}) => reason);
 		},
 		async readProcessState(address) {
-			const status = await readJson(address, '/load', statusBody);
+			const status = await readJson(address, '/load', statusSchema);
 			return status.isOk
 				? {kind: 'running', incarnation: status.value.incarnation}
 				: {kind: status.error.isRefused ? 'gone' : 'silent'};
@@ -226,31 +229,31 @@
 };
 
 /**
- What an error of a connection proves.
+ Maps a connection error to an attempt failure.
  
- Only errors that come before a byte was sent prove that nothing ran.
+ Only an error that occurs before the first byte is sent proves that the request did not run.
  */
 export const failureOf = (error: Error): AttemptFailure => {
 	const code = (error as NodeJS.ErrnoException).code ?? '';
 	if (code === withdrawnCode) {
-		return withdrawn();
+		return withdrawnFailure();
 	}
 
-	const isBeforeSend = beforeSendCodes.has(code);
+	const isNotSent = notSentCodes.has(code);
 	return {
 		isStated: false,
-		outcome: isBeforeSend ? 'not-run' : 'unknown',
+		outcome: isNotSent ? 'not-run' : 'unknown',
 		error: createGatewayError(
 			'attempt-failed',
-			isBeforeSend
+			isNotSent
 				? 'The backend server could not be reached'
 				: `The connection failed (${code === '' ? error.name : code})`,
-			{outcome: isBeforeSend ? 'not-run' : 'unknown'},
+			{outcome: isNotSent ? 'not-run' : 'unknown'},
 		),
 	};
 };
 
-const withdrawn = (): AttemptFailure => ({
+const withdrawnFailure = (): AttemptFailure => ({
 	outcome: 'not-run',
 	isStated: false,
 	isWithdrawn: true,
@@ -260,7 +263,7 @@
 	),
 });
 
-const headOf = ({
+const responseHeadOf = ({
 	statusCode,
 	headers,
 }: Dispatcher.ResponseData): EngineHead => ({
@@ -268,25 +271,25 @@
 	header: headerReader(headers),
 });
 
-const beforeSendCodes: ReadonlySet<string> = new Set([
-	refusedCode,
+const notSentCodes: ReadonlySet<string> = new Set([
+	connectionRefusedCode,
 	'EHOSTUNREACH',
 	'ENETUNREACH',
 	'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-const judgeAnswer = async (
+const checkAnswer = async (
 	answer: Dispatcher.ResponseData,
 	attemptId: string,
 ): Promise<Result<UpstreamAnswer, AttemptFailure>> => {
 	if (answer.headers[notRunHeader] !== undefined) {
 		await answer.body.dump();
-		return Result.err(refusal(answer));
+		return Result.err(refusalFailure(answer));
 	}
 
 	if (answer.headers[attemptHeader] !== attemptId) {
 		discardBody(answer.body);
-		return Result.err(foreignAnswer());
+		return Result.err(mismatchedAnswerFailure());
 	}
 
 	return Result.ok({
@@ -296,7 +299,9 @@
 	});
 };
 
-const refusal = ({statusCode}: Dispatcher.ResponseData): AttemptFailure => ({
+const refusalFailure = ({
+	statusCode,
+}: Dispatcher.ResponseData): AttemptFailure => ({
 	outcome: 'not-run',
 	isStated: true,
 	error: createGatewayError(
@@ -305,7 +310,7 @@
 	),
 });
 
-const foreignAnswer = (): AttemptFailure => ({
+const mismatchedAnswerFailure = (): AttemptFailure => ({
 	outcome: 'unknown',
 	isStated: true,
 	error: createGatewayError(
--- a/src/engines/withdraw-unless.ts
+++ b/src/engines/withdraw-unless.ts
@@ -1,12 +1,12 @@
 import type {Dispatcher} from 'undici';
 
 /**
-Code of the error of a call that was withdrawn before its first byte was written.
+Error code of a call that was withdrawn before its first byte was written.
 */
 export const withdrawnCode = 'ERR_CALL_WITHDRAWN';
 
 /**
-Builds an interceptor that withdraws a call unless it may still begin when it gets its connection.
+Creates an interceptor that withdraws a call if `canBegin` returns false once the call has obtained its connection.
 */
 export const withdrawUnless =
 	(canBegin: () => boolean): Dispatcher.DispatcherComposeInterceptor =>
--- a/tests/engines/engine-client.test.ts
+++ b/tests/engines/engine-client.test.ts
@@ -3,7 +3,7 @@
 import {test, type TestContext} from 'node:test';
 import {createEngineClient, type BackendCall} from '../../src/engines/index.ts';
 import type {ClearedRegion} from '../../src/routing/index.ts';
-import {startForeignServer} from './foreign-server.ts';
+import {startMismatchedServer} from './mismatched-server.ts';
 
 const cleared = 'abuja' as unknown as ClearedRegion;
 const call: BackendCall = {
@@ -19,14 +19,14 @@
 	onHead: () => undefined,
 };
 
-test('an answer for another attempt is dropped, also when it has arrived whole', async (t: TestContext) => {
-	const address = await startForeignServer(t);
+test('a complete answer to another attempt is discarded', async (t: TestContext) => {
+	const address = await startMismatchedServer(t);
 	const client = createEngineClient((known) => known);
 	t.after(client.close);
 	const answers = await Promise.all(
 		Array.from({length: 40}, async () => client.send(address, call, cleared)),
 	);
-	// What a dropped answer leaves behind shows only after the call has ended.
+	// An error from discarding an answer would surface only after the call has ended.
 	await setImmediate();
 	await setImmediate();
 	for (const answer of answers) {
@@ -34,8 +34,8 @@
 	}
 });
 
-test('a call that may not begin any more when its connection is up is withdrawn unsent', async (t: TestContext) => {
-	const address = await startForeignServer(t);
+test('a call that may no longer start when its connection is established is withdrawn before it is sent', async (t: TestContext) => {
+	const address = await startMismatchedServer(t);
 	const client = createEngineClient((known) => known);
 	t.after(client.close);
 	let heads = 0;
@@ -58,8 +58,8 @@
 	);
 });
 
-test('the head of each answer is told, also of one for another attempt', async (t: TestContext) => {
-	const address = await startForeignServer(t);
+test('onHead is called for each answer, also for an answer to another attempt', async (t: TestContext) => {
+	const address = await startMismatchedServer(t);
 	const client = createEngineClient((known) => known);
 	t.after(client.close);
 	const statuses: number[] = [];
--- a/tests/engines/foreign-server.ts
+++ b/tests/engines/mismatched-server.ts
@@ -1,4 +1,4 @@
-// A server whose answers name another attempt than the one that was sent, for tests of callers.
+// A test server whose answers carry the attempt id of another attempt.
 import {once} from 'node:events';
 import {createServer} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -7,9 +7,9 @@
 import type {Address} from '../../src/shared/index.ts';
 
 /**
-Starts it for the length of a test and returns its address.
+Starts the server for the duration of a test and returns its address.
 */
-export const startForeignServer = async (
+export const startMismatchedServer = async (
 	context: TestContext,
 ): Promise<Address> => {
 	const server = createServer((incoming, response) => {
--- a/tests/peers/peer-calls.test.ts
+++ b/tests/peers/peer-calls.test.ts
@@ -6,7 +6,7 @@
 	createSealer,
 	type ForwardCall,
 } from '../../src/peers/index.ts';
-import {startForeignServer} from '../engines/foreign-server.ts';
+import {startMismatchedServer} from '../engines/mismatched-server.ts';
 import {memberOf} from '../fixtures.ts';
 
 const call: ForwardCall = {
@@ -35,7 +35,7 @@
 };
 
 test('a complete answer of a node to another attempt is discarded', async (t: TestContext) => {
-	const peerAddress = await startForeignServer(t);
+	const peerAddress = await startMismatchedServer(t);
 	const calls = createPeerCalls({
 		self: () => memberOf('here-1', 'here'),
 		configurationVersion: () => 1,
