--- a/tools/prove.ts
+++ b/tools/prove.ts
@@ -30,8 +30,8 @@
 	{
 		tag: 'no-loop',
 		what: 'a receiver remembers the attempts it has seen',
-		file: 'src/requests/serve-forwarded.ts',
-		from: 'if (!context.isFirst(envelope.attemptId)) {',
+		file: 'src/requests/parse-forwarded-request.ts',
+		from: 'if (!context.isFirstDelivery(envelope.attemptId)) {',
 		to: 'if (false) {',
 	},
 	{
@@ -59,8 +59,8 @@
 		tag: 'at-most-once',
 		what: 'only the node that issued an id may run its request',
 		file: 'src/requests/permits.ts',
-		from: "return {kind: 'elsewhere', holder: permit};",
-		to: 'return judgeOwn(use, permit.at, now);',
+		from: "return {kind: 'elsewhere', issuer: permit};",
+		to: 'return redeemLocal(use, permit.at, now);',
 	},
 	{
 		tag: 'leaving',
@@ -73,7 +73,7 @@
 		tag: 'planned-stop',
 		what: 'a node that is leaving waits for its requests',
 		file: 'src/node/create-node.ts',
-		from: 'return inFlight.idle(settings.drainTimeoutMs);',
+		from: 'return inFlight.waitUntilIdle(settings.drainTimeoutMs);',
 		to: 'return true;',
 	},
 	{
