--- a/tests/tools/account.test.ts
+++ b/tests/tools/account.test.ts
@@ -68,7 +68,7 @@
 	});
 }
 
-test('the account adds up to what was counted, whatever the lines say', (t: TestContext) => {
+test('the totals of the account equal the counts for any log lines', (t: TestContext) => {
 	fc.assert(
 		fc.property(
 			fc.array(fc.record({late: fc.nat(500), lost: fc.nat(500)}), {
--- a/tests/tools/compare.test.ts
+++ b/tests/tools/compare.test.ts
@@ -23,7 +23,7 @@
 			playOf({seed: '2', worth: 0.9}),
 			playOf({seed: '1', variant: 'waiting', worth: 0.4, broken: ['LOST']}),
 			playOf({seed: '2', variant: 'waiting', worth: 0.6}),
-			// Without a partner.
+			// There is no complete play of this seed.
 			playOf({seed: '3', variant: 'waiting', worth: 0}),
 		],
 		'complete',
--- a/tools/account.ts
+++ b/tools/account.ts
@@ -1,8 +1,8 @@
-// Says why requests were lost and late, from the lines of nodes and a count of requests by the second.
+// Reports why requests were lost or late, from the request logs of nodes and request counts per second.
 // Usage: npm run account -- LOG [REPORT] [PICTURE.svg]
-// LOG holds the standard output of nodes. REPORT is a JSON file with `windows`, each with its first second as
-// `name`, and `late`, `refused` and `failed`; without it the lines are counted. With a PICTURE the account is
-// drawn.
+// LOG contains the standard output of nodes. REPORT is a JSON file with `windows`; each window has its first
+// second as `name`, and the counts `late`, `refused` and `failed`. Without REPORT, the log lines are counted.
+// PICTURE is the file for a bar chart of the result.
 import {readFileSync, writeFileSync} from 'node:fs';
 import process from 'node:process';
 import * as z from 'zod';
@@ -11,7 +11,7 @@
 import {readRequestLines} from './account/read-lines.ts';
 import {drawBars} from './plots/draw-bars.ts';
 
-// Seconds of a span where the lines themselves are counted.
+// Length of a span when the log lines are counted.
 const spanSeconds = 2;
 
 const reportSchema = z.object({
@@ -40,8 +40,8 @@
 	const spans = new Map<number, {late: number; lost: number}>();
 	for (const line of lines) {
 		const cause = causeOf(line);
-		const cameAt = line.at - line.totalMs / 1000;
-		const from = Math.floor(cameAt / spanSeconds) * spanSeconds;
+		const arrivedAt = line.at - line.totalMs / 1000;
+		const from = Math.floor(arrivedAt / spanSeconds) * spanSeconds;
 		const span = spans.get(from) ?? {late: 0, lost: 0};
 		spans.set(from, span);
 		if (cause === undefined) {
@@ -74,7 +74,7 @@
 const main = async ([log, report, picture]: readonly string[]) => {
 	if (log === undefined) {
 		process.stderr.write(
-			'No log: name a file with the output of nodes, as in npm run account -- LOG [REPORT] [PICTURE.svg]\n',
+			'No log file given. Usage: npm run account -- LOG [REPORT] [PICTURE.svg]\n',
 		);
 		process.exitCode = 1;
 		return;
@@ -103,7 +103,7 @@
 	}
 
 	const svg = await drawBars({
-		title: 'Requests lost and late, by the second in which they came',
+		title: 'Lost and late requests by second of arrival',
 		values: rows.map(({from, cause, lost, late}) => ({
 			second: from,
 			cause,
--- a/tools/account/account.ts
+++ b/tools/account/account.ts
@@ -1,67 +1,69 @@
 import {causeOf, causes, type Cause, type RequestLine} from './cause.ts';
 
 /**
-Requests by the second in which they came, as whoever asked them counts them.
+Number of lost and late requests that arrived in one span of time, as counted by the caller.
 */
 export type CountedSpan = {
 	/**
-	Seconds; the span lasts until the next one.
+	Start in seconds; the span ends where the next one starts.
 	*/
 	readonly from: number;
 	readonly late: number;
 	/**
-	Refused or failed for good.
+	Requests that were refused or failed in the end.
 	*/
 	readonly lost: number;
 };
 
 /**
-Requests of one span that were lost or late for one cause.
+Number of requests of one span that were lost or late for one cause.
 */
 export type AccountRow = {
 	readonly from: number;
 	readonly cause: Cause;
 	/**
-	Fractions, for causes share what was counted by the lines of the span.
+	Not necessarily an integer: the counted requests are split among the causes in proportion to the log lines.
 	*/
 	readonly lost: number;
 	readonly late: number;
 };
 
-const delays: ReadonlySet<Cause> = new Set(
+const delayCauses: ReadonlySet<Cause> = new Set(
 	causes.filter((cause) => cause.startsWith('late ')),
 );
 
 /**
-Says for each span why its requests were lost and late.
+Splits the lost and late requests of each span by cause.
 
-The sums are those that were counted. A node bounds its lines, so what it wrote is taken as a sample: where
-it wrote fewer lines of a kind than were counted, causes are scaled up; where it wrote more, as callers try
-again, scaled down. What no line tells of is a cause of its own.
+The totals equal the counts. Nodes limit their log lines, so the lines are treated as a sample: causes are
+scaled up if there are fewer lines than counted requests, and scaled down if there are more, as happens when
+callers retry. Counted requests without any log line get the cause `seen by no line`.
 */
 export const accountFor = (
 	spans: readonly CountedSpan[],
 	lines: readonly RequestLine[],
 ): readonly AccountRow[] =>
 	spans.flatMap((span, index) => {
-		const until = spans[index + 1]?.from ?? Infinity;
-		const found = lines
+		const end = spans[index + 1]?.from ?? Infinity;
+		const foundCauses = lines
 			.filter(({at, totalMs}) => {
-				const cameAt = at - totalMs / 1000;
-				return cameAt >= span.from && cameAt < until;
+				const arrivedAt = at - totalMs / 1000;
+				return arrivedAt >= span.from && arrivedAt < end;
 			})
 			.map((line) => causeOf(line))
 			.filter((cause) => cause !== undefined);
-		const counts = Map.groupBy(found, (cause) => cause);
+		const counts = Map.groupBy(foundCauses, (cause) => cause);
 		const share = (cause: Cause, isDelay: boolean, counted: number): number => {
-			const kind = found.filter((each) => delays.has(each) === isDelay);
-			const isUnseen = kind.length === 0 && cause === 'seen by no line';
+			const sameKind = foundCauses.filter(
+				(each) => delayCauses.has(each) === isDelay,
+			);
+			const isUnseen = sameKind.length === 0 && cause === 'seen by no line';
 			if (isUnseen) {
 				return counted;
 			}
 
-			return delays.has(cause) === isDelay && kind.length > 0
-				? (counted * (counts.get(cause)?.length ?? 0)) / kind.length
+			return delayCauses.has(cause) === isDelay && sameKind.length > 0
+				? (counted * (counts.get(cause)?.length ?? 0)) / sameKind.length
 				: 0;
 		};
 
@@ -76,7 +78,7 @@
 	});
 
 /**
-The sums of rows by a key, greatest first.
+Sums rows by key, largest total first.
 */
 export const sumBy = (
 	rows: readonly AccountRow[],
--- a/tools/account/cause.ts
+++ b/tools/account/cause.ts
@@ -1,5 +1,5 @@
 /**
-Why a request was lost or late, as a node's line about it tells.
+Reasons why a request was lost or late, derived from the log line of its node.
 */
 export const causes = [
 	'no room',
@@ -19,16 +19,16 @@
 ] as const;
 
 /**
-One of the causes.
+Reason why a request was lost or late.
 */
 export type Cause = (typeof causes)[number];
 
 /**
-What a node writes about a request that it took from a caller; times in milliseconds.
+Log line of a node about a request that it received from a caller. Durations are in milliseconds.
 */
 export type RequestLine = {
 	/**
-	When the line was written, in seconds.
+	Time at which the line was written, in seconds.
 	*/
 	readonly at: number;
 	readonly node: string;
@@ -46,11 +46,11 @@
 
 const brokenConnection = /closed|reset|ended in the middle|is missing/iv;
 const noConnection = /connect|timeout/iv;
-// A request that waited for this part of its delay is late for want of room.
-const waitingPart = 0.5;
+// Fraction of a delay; a request that waited longer for capacity is late for that reason.
+const queueingFraction = 0.5;
 
 /**
-The cause of a request that was not answered with a success; undefined for one that came in time.
+Returns why a request was lost or late, or undefined if it was neither.
 */
 export const causeOf = (line: RequestLine): Cause | undefined => {
 	if (line.result === 'answered') {
@@ -59,12 +59,12 @@
 			: 'fault of a server';
 	}
 
-	return sentElsewhere.test(line.reason) ? undefined : causeOfLoss(line);
+	return redirectReason.test(line.reason) ? undefined : causeOfLoss(line);
 };
 
 const failureStatus = 500;
-// A leaving node's word to come back at once: the next try, under another id, tells what became of it.
-const sentElsewhere = /ends before the request/iv;
+// A stopping node tells the caller to retry at once. The retry has another id and its own log line.
+const redirectReason = /ends before the request/iv;
 
 const causeOfLoss = ({
 	result,
@@ -112,7 +112,7 @@
 		return undefined;
 	}
 
-	if (waitedMs > (firstByteMs - targetMs) * waitingPart) {
+	if (waitedMs > (firstByteMs - targetMs) * queueingFraction) {
 		return 'late by waiting for room';
 	}
 
--- a/tools/account/read-lines.ts
+++ b/tools/account/read-lines.ts
@@ -7,10 +7,10 @@
 const secondMs = 1000;
 
 /**
-Reads the lines about callers' requests out of the output of nodes. A line may have the time in seconds and
-the node before it; without a time, that of the line itself counts, from the first line on.
+Reads the log lines about callers' requests from the output of nodes. A line may start with a time in seconds
+and the name of the node. Without such a time, the time in the JSON applies, relative to the first line.
 
-Lines that are no JSON, and lines about requests that another node forwarded, are passed over.
+Skips lines without JSON, and lines about requests that another node forwarded.
 */
 export const readRequestLines = async (
 	file: string,
@@ -27,11 +27,11 @@
 
 		firstTime ??= parsed.time;
 		const seconds = /^\s*(?<seconds>-?[\d.]+)\s/v.exec(text)?.groups?.seconds;
-		const stated = Number(seconds ?? NaN);
-		const at = Number.isNaN(stated)
+		const prefixTime = Number(seconds ?? NaN);
+		const at = Number.isNaN(prefixTime)
 			? (parsed.time - firstTime) / secondMs
-			: stated;
-		const line = toLine(parsed.context, parsed.message, at);
+			: prefixTime;
+		const line = toRequestLine(parsed.context, parsed.message, at);
 		if (line) {
 			lines.push(line);
 		}
@@ -55,7 +55,7 @@
 	}
 };
 
-const toLine = (
+const toRequestLine = (
 	context: Context,
 	message: string,
 	at: number,
@@ -71,9 +71,10 @@
 	};
 
 	const isAboutRequest = message.startsWith('request ');
-	// A path without a route is the caller's fault, and no request of a route was lost with it.
-	const isOwnFault = message === 'request rejected' && count('status') !== 503;
-	if (!isAboutRequest || isOwnFault || context.origin !== undefined) {
+	// A path without a route is a caller error, and no request of a route was lost.
+	const isCallerError =
+		message === 'request rejected' && count('status') !== 503;
+	if (!isAboutRequest || isCallerError || context.origin !== undefined) {
 		return undefined;
 	}
 
--- a/tools/build.ts
+++ b/tools/build.ts
@@ -1,5 +1,5 @@
-// Builds FOLDER/quillford, dist/quillford where no folder is named: one executable with the runtime
-// in it.
+// Builds FOLDER/quillford, a single executable that includes the Node.js runtime.
+// Usage: node tools/build.ts [FOLDER]; FOLDER is dist by default.
 import {execFileSync} from 'node:child_process';
 import {
 	chmodSync,
@@ -22,16 +22,16 @@
 const seaConfiguration = `${folder}/sea.json`;
 const fuse = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
 
-// The script that starts first holds what the node of the platform needs and no more: its start counts
-// after each loss of power, and the runtime reads the whole script each time.
-const lean: Plugin = {
-	name: 'lean',
+// Keeps code that a platform node doesn't need out of the main script. The runtime parses the whole
+// script at each start, and a node has to start fast after a power failure.
+const minimalMainScript: Plugin = {
+	name: 'minimal-main-script',
 	setup(build) {
-		// eslint-disable-next-line require-unicode-regexp -- esbuild reads the filter and knows no flags
+		// eslint-disable-next-line require-unicode-regexp -- esbuild evaluates the filter and supports no flags
 		build.onResolve({filter: /^undici$/}, () => ({
 			path: path.resolve('tools/undici-core.mjs'),
 		}));
-		// eslint-disable-next-line require-unicode-regexp -- esbuild reads the filter and knows no flags
+		// eslint-disable-next-line require-unicode-regexp -- esbuild evaluates the filter and supports no flags
 		build.onResolve({filter: /command-line\/index\.ts$/}, () => ({
 			path: './command-line.cjs',
 			external: true,
@@ -40,7 +40,7 @@
 };
 
 mkdirSync(folder, {recursive: true});
-await bundle(script, {plugins: [lean], keepNames: false});
+await bundle(script, {plugins: [minimalMainScript], keepNames: false});
 await bundle(commandLine, {entry: 'src/command-line/index.ts'});
 writeFileSync(
 	seaConfiguration,
--- a/tools/bundle.ts
+++ b/tools/bundle.ts
@@ -1,6 +1,6 @@
 import {build, type Plugin} from 'esbuild';
 
-// Nest and others load these only where they are installed.
+// Nest and other packages load these only if they are installed.
 const optionalPackages = [
 	'@nestjs/microservices',
 	'@nestjs/websockets',
@@ -15,19 +15,19 @@
 ];
 
 /**
-What a bundle is made from.
+Entry file and esbuild settings of a bundle.
 */
 export type BundleOptions = {
 	readonly entry: string;
 	readonly plugins: Plugin[];
 	/**
-	Whether functions and classes keep their names where a bundle renames them; Nest needs it.
+	Whether functions and classes that esbuild renames keep their original `name`, which Nest requires.
 	*/
 	readonly keepNames: boolean;
 };
 
 /**
-Bundles the whole program into one file, or another entry.
+Bundles an entry file, by default the whole program, into one file.
 */
 export const bundle = async (
 	output: string,
--- a/tools/days.ts
+++ b/tools/days.ts
@@ -1,23 +1,23 @@
-// Plays the day files under deploy/days/ on the deployments that are named, and prints what each was worth.
-// The users' bench is not part of this repository: without it nothing is played.
+// Plays the day files under deploy/days/ on each given deployment and prints the score of each run.
+// The program that plays them is not part of this repository; without it nothing is played.
 import {spawn} from 'node:child_process';
 import {globSync} from 'node:fs';
 import process from 'node:process';
 import {text} from 'node:stream/consumers';
 
-// Days played at the same time; each takes one core.
-const parallel = 3;
+// Each play takes one processor core.
+const maximumParallelPlays = 3;
 
 const {QUILLFORD_BENCH: bench, QUILLFORD_SITES: siteList = ''} = process.env;
 const sites = siteList.split(',').filter((site) => site !== '');
 
 const play = async (site: string, day: string): Promise<string> => {
-	const words = ['run', site, day, '--why', `own day ${day}`];
-	const child = spawn(bench!, words, {stdio: ['ignore', 'pipe', 'inherit']});
+	const args = ['run', site, day, '--why', `own day ${day}`];
+	const child = spawn(bench!, args, {stdio: ['ignore', 'pipe', 'inherit']});
 	return summaryOf(await text(child.stdout));
 };
 
-// The line of the day, and each line that names a broken rule.
+// Returns the result line of the day and each line that names a broken rule.
 const summaryOf = (output: string): string => {
 	const lines = output.split('\n');
 	const heading = lines.findIndex((line) => line.startsWith('day '));
@@ -38,12 +38,12 @@
 		}
 	};
 
-	await Promise.all(Array.from({length: parallel}, worker));
+	await Promise.all(Array.from({length: maximumParallelPlays}, worker));
 };
 
 if (bench === undefined || sites.length === 0) {
 	process.stdout.write(
-		'skipped: set QUILLFORD_BENCH to the program of the bench and QUILLFORD_SITES to site files, separated by commas\n',
+		'skipped: set QUILLFORD_BENCH to the program that plays days and QUILLFORD_SITES to a comma-separated list of site files\n',
 	);
 } else {
 	await playAll();
--- a/tools/experiment.ts
+++ b/tools/experiment.ts
@@ -1,9 +1,9 @@
-// Plays days with mechanisms switched off, one at a time, beside the same days with all of them on, and says
-// what each is worth.
+// Ablation study: plays days with one mechanism disabled at a time, and the same days with all mechanisms
+// enabled, and reports how much each mechanism contributes to the score.
 // Usage: npm run experiment -- --without NAME[,NAME...]|all --sites FILE,... --days NAME,... --seeds own,7,...
 //          [--jobs 4] [--folder ../quillford-experiments] [--picture docs/ablation.svg]
-// QUILLFORD_BENCH names the program that plays days; it is not part of this repository. Each variant is played
-// in a clone of the last commit, so nothing is built or played twice in one folder.
+// QUILLFORD_BENCH is the path of the program that plays days; it is not part of this repository. Each variant
+// is built and played in its own clone of the last commit, so that variants don't share a folder.
 import {spawnSync, spawn} from 'node:child_process';
 import {
 	appendFileSync,
@@ -23,7 +23,7 @@
 import {drawBars} from './plots/draw-bars.ts';
 
 /**
-A variant with everything on; the others are named for what is off.
+Name of the variant with all mechanisms enabled. Each other variant has the name of its disabled mechanism.
 */
 const complete = 'complete';
 
@@ -36,9 +36,9 @@
 	all: z.object({n: z.number(), late: z.number()}),
 });
 
-// As the reports name what they count.
+// Names of counts in the reports.
 const processorSeconds = 'processor seconds';
-const tokensReadAgain = '1,000 tokens of shared parts read again';
+const recomputedTokens = '1,000 tokens of shared parts read again';
 
 const {values: options} = parseArgs({
 	options: {
@@ -55,10 +55,10 @@
 const listOf = (text: string): readonly string[] =>
 	text.split(',').filter((part) => part !== '');
 
-const run = (command: string, words: readonly string[], cwd: string) => {
-	const {status, stderr} = spawnSync(command, words, {cwd, encoding: 'utf8'});
+const run = (command: string, args: readonly string[], cwd: string) => {
+	const {status, stderr} = spawnSync(command, args, {cwd, encoding: 'utf8'});
 	if (status !== 0) {
-		throw new Error(`${command} ${words.join(' ')} failed: ${stderr}`);
+		throw new Error(`${command} ${args.join(' ')} failed: ${stderr}`);
 	}
 };
 
@@ -74,10 +74,13 @@
 
 	if (variant !== complete) {
 		const file = path.join(clone, 'deploy/system.toml');
-		const plain = readFileSync(file, 'utf8').replace(/ --without \S+"/v, '"');
+		const settings = readFileSync(file, 'utf8').replace(
+			/ --without \S+"/v,
+			'"',
+		);
 		writeFileSync(
 			file,
-			plain.replace(
+			settings.replace(
 				/ platform-node"/v,
 				() => ` platform-node --without ${variant}"`,
 			),
@@ -103,7 +106,7 @@
 ): Promise<Play | undefined> => {
 	const name = `${path.basename(site, '.toml')}-${day}-${seed}-${variant}`;
 	const report = path.resolve(folder, `${name}.json`);
-	const words = [
+	const args = [
 		'run',
 		site,
 		day,
@@ -113,7 +116,7 @@
 		`experiment: ${variant} on ${day}, seed ${seed}`,
 		...(seed === 'own' ? [] : ['--seed', seed]),
 	];
-	const child = spawn(bench, words, {cwd: clone, stdio: 'ignore'});
+	const child = spawn(bench, args, {cwd: clone, stdio: 'ignore'});
 	await once(child, 'exit');
 	if (!existsSync(report)) {
 		process.stdout.write(`not played: ${name}\n`);
@@ -131,7 +134,7 @@
 		late: read.all.late / Math.max(1, read.all.n),
 		refused: read.refused,
 		failed: read.failed,
-		readAgain: counted.get(tokensReadAgain) ?? 0,
+		readAgain: counted.get(recomputedTokens) ?? 0,
 		processor: counted.get(processorSeconds) ?? 0,
 		broken: Object.keys(read.breaks),
 	};
@@ -148,13 +151,13 @@
 const playAll = async (bench: string): Promise<readonly Play[]> => {
 	const {folder} = options;
 	mkdirSync(folder, {recursive: true});
-	const off =
+	const disabled =
 		options.without === 'all' ? [...mechanisms] : listOf(options.without);
-	const clones = [complete, ...off].map((variant) => ({
+	const clones = [complete, ...disabled].map((variant) => ({
 		variant,
 		clone: prepare(bench, folder, variant),
 	}));
-	// All variants of one day after the other, so that they meet the same machine.
+	// Plays all variants of a day in succession, so that they run under similar load of the machine.
 	const tasks = listOf(options.sites).flatMap((site) =>
 		listOf(options.days).flatMap((day) =>
 			listOf(options.seeds).flatMap((seed) =>
@@ -210,7 +213,8 @@
 	}
 
 	const svg = await drawBars({
-		title: 'What worth changes by without each mechanism, with its spread',
+		title:
+			'Change of worth without each mechanism, with its standard deviation',
 		values: rows.map(({site, variant, worth, spread}) => ({
 			variant,
 			site,
@@ -236,7 +240,7 @@
 		: parseDisabledMechanisms(options.without);
 if (bench === undefined || options.sites === '' || options.days === '') {
 	process.stdout.write(
-		'skipped: set QUILLFORD_BENCH to the program of the bench, and name --sites and --days\n',
+		'skipped: set QUILLFORD_BENCH to the program that plays days, and give --sites and --days\n',
 	);
 } else if (names?.isErr) {
 	process.stderr.write(`--without ${names.error}\n`);
--- a/tools/experiment/compare.ts
+++ b/tools/experiment/compare.ts
@@ -1,7 +1,7 @@
 import {mean, standardDeviation} from 'simple-statistics';
 
 /**
-What one play of a day came to.
+Result of one play of a day.
 */
 export type Play = {
 	readonly site: string;
@@ -9,31 +9,31 @@
 	readonly seed: string;
 	readonly variant: string;
 	/**
-	Credit less prices, as a part of what was owed.
+	Credit minus prices, as a fraction of the credit due.
 	*/
 	readonly worth: number;
 	/**
-	Parts of all requests.
+	Fraction of all requests, as are `refused` and `failed`.
 	*/
 	readonly late: number;
 	readonly refused: number;
 	readonly failed: number;
 	/**
-	Thousands of tokens of shared prompt parts that were read again.
+	Tokens of shared prompt parts that were computed again, in thousands.
 	*/
 	readonly readAgain: number;
 	/**
-	Seconds of all nodes.
+	Processor time of all nodes, in seconds.
 	*/
 	readonly processor: number;
 	/**
-	Rules that were broken.
+	Names of the rules that were broken.
 	*/
 	readonly broken: readonly string[];
 };
 
 /**
-How a variant differs from the complete one on a site: means over pairs of plays of the same day and seed.
+Mean differences between a variant and the complete one on a site, over pairs of plays with the same day and seed.
 */
 export type Comparison = {
 	readonly site: string;
@@ -53,7 +53,7 @@
 };
 
 /**
-Compares each variant with the complete one; plays without a partner are left out.
+Compares each variant with the complete one. Ignores plays without a complete play of the same day and seed.
 */
 export const compareVariants = (
 	plays: readonly Play[],
--- a/tools/plots/draw-bars.ts
+++ b/tools/plots/draw-bars.ts
@@ -2,29 +2,29 @@
 import {compile} from 'vega-lite';
 
 /**
-What a picture of bars shows.
+Data and fields of a bar chart.
 */
 export type Bars = {
 	readonly title: string;
 	readonly values: ReadonlyArray<Readonly<Record<string, number | string>>>;
 	/**
-	Fields of the values: across, up, and by colour.
+	Fields of the values for the horizontal axis, the vertical axis and the colour.
 	*/
 	readonly x: string;
 	readonly y: string;
 	readonly color: string;
 	/**
-	Fields with the lower and upper end of a line over each bar.
+	Fields with the lower and upper end of the error bar.
 	*/
 	readonly range?: {readonly low: string; readonly high: string};
 };
 
-// Of the picture without its margins, in pixels.
+// Size of the plot area without margins, in pixels.
 const width = 720;
 const height = 320;
 
 /**
-Draws bars as SVG, stacked by colour; with a range, beside each other.
+Draws a bar chart as SVG. Bars of different colours are stacked, or side by side if there is a range.
 */
 export const drawBars = async (bars: Bars): Promise<string> => {
 	const {title, values, x, y, color, range} = bars;
--- a/tools/prove.ts
+++ b/tools/prove.ts
@@ -1,6 +1,6 @@
-// Shows that each scenario set fails without the mechanism that it is meant for: takes the mechanism
-// out of a bundle, runs the set against it, and expects it to fail.
-// Usage: npm run prove, or npm run prove -- NAME... for some of them.
+// Mutation check of the scenarios: bundles the gateway with one mechanism disabled, runs the scenario
+// set that covers the mechanism against this bundle, and expects the set to fail.
+// Usage: npm run prove, or npm run prove -- TAG... to check only some sets.
 import {spawnSync} from 'node:child_process';
 import {mkdirSync, readFileSync} from 'node:fs';
 import path from 'node:path';
@@ -9,7 +9,7 @@
 import {bundle} from './bundle.ts';
 
 /**
-A mechanism and the edit that takes it out.
+A mechanism and the source edit that disables it.
 */
 type Mechanism = {
 	readonly tag: string;
@@ -22,73 +22,73 @@
 const mechanisms: readonly Mechanism[] = [
 	{
 		tag: 'residency',
-		what: 'the guard that every send passes',
+		what: 'the residency guard of every send',
 		file: 'src/routing/residency.ts',
 		from: 'return isRegionAllowed(residency.value, region)',
 		to: 'return true || isRegionAllowed(residency.value, region)',
 	},
 	{
 		tag: 'no-loop',
-		what: 'a receiver remembers the attempts it has seen',
+		what: 'receivers reject attempts that they have already seen',
 		file: 'src/requests/parse-forwarded-request.ts',
 		from: 'if (!context.isFirstDelivery(envelope.attemptId)) {',
 		to: 'if (false) {',
 	},
 	{
 		tag: 'cut-region',
-		what: 'nodes learn the configuration from their peers',
+		what: 'nodes fetch newer configurations from their peers',
 		file: 'src/configuration/configuration-store.ts',
 		from: 'isAhead: (other) => compareStamps(other, stamp()) > 0',
 		to: 'isAhead: (other) => false',
 	},
 	{
 		tag: 'own-answer',
-		what: 'each event is checked for its place',
+		what: 'the index of each event is checked',
 		file: 'src/requests/event-stream.ts',
 		from: 'if (index !== delivered) {',
 		to: 'if (false) {',
 	},
 	{
 		tag: 'not-run',
-		what: 'only failures before the first byte prove that nothing ran',
+		what: 'only failures before the first sent byte prove that nothing ran',
 		file: 'src/engines/engine-client.ts',
 		from: 'const isBeforeSend = beforeSendCodes.has(code);',
 		to: 'const isBeforeSend = true;',
 	},
 	{
 		tag: 'at-most-once',
-		what: 'only the node that issued an id may run its request',
+		what: 'only the node that issued a request id runs its request',
 		file: 'src/requests/permits.ts',
 		from: "return {kind: 'elsewhere', issuer: permit};",
 		to: 'return redeemLocal(use, permit.at, now);',
 	},
 	{
 		tag: 'leaving',
-		what: 'a leaving word takes a server out of the candidates',
+		what: 'servers that announce their shutdown are no candidates',
 		file: 'src/fleet/fleet.ts',
 		from: 'const isUsable = (row: Row, now: number): boolean =>',
 		to: 'const isUsable = (row: Row, now: number): boolean => row.ejectedUntil <= now ||',
 	},
 	{
 		tag: 'planned-stop',
-		what: 'a node that is leaving waits for its requests',
+		what: 'a stopping node waits for its requests in flight',
 		file: 'src/node/create-node.ts',
 		from: 'return inFlight.waitUntilIdle(settings.drainTimeoutMs);',
 		to: 'return true;',
 	},
 	{
 		tag: 'configuration',
-		what: 'the version only rises',
+		what: 'older configuration versions are refused',
 		file: 'src/configuration/configuration-store.ts',
 		from: 'if (compareStamps(stampOf(parsed.value), stamp()) <= 0) {',
 		to: 'if (false) {',
 	},
 ];
 
-const takeOut = ({file, from, to}: Mechanism): Plugin => ({
-	name: 'take-out',
+const disableMechanism = ({file, from, to}: Mechanism): Plugin => ({
+	name: 'disable-mechanism',
 	setup(build) {
-		// eslint-disable-next-line require-unicode-regexp -- the bundler takes no such flag
+		// eslint-disable-next-line require-unicode-regexp -- esbuild rejects filters with this flag
 		build.onLoad({filter: /\.ts$/}, ({path: loaded}) => {
 			if (path.relative(process.cwd(), loaded) !== file) {
 				return undefined;
@@ -96,7 +96,9 @@
 
 			const text = readFileSync(loaded, 'utf8');
 			if (!text.includes(from)) {
-				throw new Error(`${file} no longer holds: ${from}`);
+				throw new Error(
+					`${file} does not contain the line to replace: ${from}`,
+				);
 			}
 
 			return {contents: text.replace(from, () => to), loader: 'ts'};
@@ -104,10 +106,10 @@
 	},
 });
 
-const isRed = async (mechanism: Mechanism): Promise<boolean> => {
+const didFailWithout = async (mechanism: Mechanism): Promise<boolean> => {
 	const output = `dist/without/${mechanism.tag}.cjs`;
 	mkdirSync('dist/without', {recursive: true});
-	await bundle(output, {plugins: [takeOut(mechanism)]});
+	await bundle(output, {plugins: [disableMechanism(mechanism)]});
 	const run = spawnSync(
 		process.execPath,
 		[
@@ -139,20 +141,20 @@
 	return run.status !== 0;
 };
 
-const chosen = process.argv.slice(2);
-const stillGreen: string[] = [];
+const selectedTags = process.argv.slice(2);
+const undetected: string[] = [];
 for (const mechanism of mechanisms) {
 	if (
-		(chosen.length === 0 || chosen.includes(mechanism.tag)) &&
-		!(await isRed(mechanism))
+		(selectedTags.length === 0 || selectedTags.includes(mechanism.tag)) &&
+		!(await didFailWithout(mechanism))
 	) {
-		stillGreen.push(mechanism.tag);
+		undetected.push(mechanism.tag);
 	}
 }
 
 process.stdout.write(
-	stillGreen.length === 0
+	undetected.length === 0
 		? 'each scenario set fails without its mechanism\n'
-		: `still green without their mechanism: ${stillGreen.join(', ')}\n`,
+		: `scenario sets that pass without their mechanism: ${undetected.join(', ')}\n`,
 );
-process.exitCode = stillGreen.length === 0 ? 0 : 1;
+process.exitCode = undetected.length === 0 ? 0 : 1;
--- a/tools/schema.ts
+++ b/tools/schema.ts
@@ -1,4 +1,4 @@
-// Writes the configuration's JSON Schema to docs/, from which editors can check documents.
+// Writes the JSON Schema of the configuration to docs/. Editors can validate documents against it.
 import {writeFileSync} from 'node:fs';
 import {z} from 'zod';
 import {configurationSchema} from '../src/configuration/index.ts';
--- a/tools/undici-core.mjs
+++ b/tools/undici-core.mjs
@@ -1,5 +1,5 @@
-// What the node of the platform uses of undici, without the rest of that library: fetch, caches, sockets
-// and mocks are half of it and would be read at each start. The build puts it in the place of 'undici'.
+// The subset of undici that a platform node uses. The build substitutes this module for 'undici', because
+// fetch, caches, web sockets and mocks make up half of the library and would be parsed at each start.
 import Dispatcher from 'undici/lib/dispatcher/dispatcher.js';
 import callRequest from 'undici/lib/api/api-request.js';
 
