--- a/stand-ins/backend-server.ts
+++ b/stand-ins/backend-server.ts
@@ -1,4 +1,4 @@
-// Stands in for a backend server: a model engine or a plain service.
+// Simulated backend server: a model engine or a plain HTTP service.
 // Usage: node stand-ins/backend-server.ts --address IP:PORT --kind model --slots 64 --step-ms 5 --prefill-ms 20
 import type {Buffer} from 'node:buffer';
 import {createHash, randomBytes} from 'node:crypto';
@@ -8,68 +8,68 @@
 
 type Faults = {
 	/**
-	Multiplies every time.
+	Factor by which all processing times are multiplied.
 	*/
 	slowFactor: number;
 	/**
-	Refuses all work, saying that nothing ran.
+	Whether the server refuses all requests and states that they did not run.
 	*/
 	isRefusing: boolean;
 	/**
-	Says in its load reports that it is leaving.
+	Whether load reports announce the shutdown of the server.
 	*/
 	isLeaving: boolean;
 	/**
-	Breaks the connection before it begins, or after it has run, or after a count of tokens.
+	When the server breaks the connection: before or after it runs the request, or after `breakAfterTokens` tokens.
 	*/
 	breakAt: 'none' | 'before-run' | 'after-run' | 'mid-stream';
 	breakAfterTokens: number;
 	/**
-	How many requests the break applies to.
+	Number of requests whose connection the server still breaks.
 	*/
 	breaksLeft: number;
 	/**
-	Sends each event twice.
+	Whether each event is sent twice.
 	*/
 	isRepeating: boolean;
 	/**
-	Leaves out every event with this index; -1 for none.
+	Index of the event that is omitted from each stream; -1 for none.
 	*/
 	gapAt: number;
 	/**
-	Answers in the name of another attempt.
+	Whether answers carry the id of another attempt.
 	*/
 	isForeign: boolean;
 	/**
-	Puts one event of another attempt into each stream.
+	Whether each stream contains one event of another attempt.
 	*/
 	hasForeignEvent: boolean;
 	/**
-	Load reports are this many milliseconds old.
+	Age of load reports, in milliseconds.
 	*/
 	reportLagMs: number;
 	/**
-	Milliseconds before an answer begins.
+	Delay before an answer begins, in milliseconds.
 	*/
 	delayMs: number;
 	/**
-	Cache events that are lost, one in this many; 0 for none.
+	Drops every n-th cache event; 0 for none.
 	*/
 	loseEventEvery: number;
 	/**
-	Milliseconds of one step.
+	Duration of one decoding step, in milliseconds.
 	*/
 	stepMs: number;
 	/**
-	Requests a second that it names in its answers as what it takes; 0 for none.
+	Limit in requests per second that the answers state; 0 for none.
 	*/
 	limit: number;
 	/**
-	Announces its shutdown in the heads of its answers, its load report aside.
+	Whether response headers announce the shutdown; independent of the load reports.
 	*/
 	announcesLeaving: boolean;
 	/**
-	Seconds of rest that it asks for when it refuses; 0 for none.
+	Value of `Retry-After` in refusals, in seconds; 0 for none.
 	*/
 	restSeconds: number;
 };
@@ -114,9 +114,9 @@
 const maximumCached = 200;
 let running = 0;
 let lastBegunAt = 0;
-// All that came from nodes, with the time of day.
+// Arrival times of all requests from nodes, in milliseconds since the Unix epoch.
 const arrivals: number[] = [];
-// The same calls by the node of the attempt, which is empty for reads of the load.
+// The same requests with the node of the attempt, which is empty for requests of the load report.
 const calls: Array<{at: number; node: string; isRefused: boolean}> = [];
 let queued = 0;
 let report = {running: 0, queued: 0};
@@ -147,7 +147,7 @@
 
 const isFull = () => running >= slots;
 
-const didGetSlot = async (): Promise<boolean> => {
+const didAcquireSlot = async (): Promise<boolean> => {
 	if (running + queued >= slots * 1.5) {
 		return false;
 	}
@@ -182,7 +182,7 @@
 };
 
 /**
-The text of one token; it depends on the prompt alone, so that an answer can be checked byte for byte.
+Returns the text of one token. It depends only on the prompt and the index, so tests can check answers byte for byte.
 */
 const tokenAt = (prompt: string, index: number): string =>
 	`${createHash('sha1').update(`${prompt}#${index}`).digest('hex').slice(0, 6)} `;
@@ -218,7 +218,7 @@
 	readonly signal: AbortSignal;
 };
 
-const pace = async (milliseconds: number, signal: AbortSignal) =>
+const sleepScaled = async (milliseconds: number, signal: AbortSignal) =>
 	sleep(milliseconds * faults.slowFactor, signal);
 
 const stream = async (call: Call, response: ServerResponse) => {
@@ -239,7 +239,7 @@
 			return;
 		}
 
-		await pace(faults.stepMs * (1 + running / slots), signal);
+		await sleepScaled(faults.stepMs * (1 + running / slots), signal);
 		const event = eventOf(
 			attemptId,
 			index,
@@ -262,9 +262,9 @@
 	response.end(`id: ${attemptId}:end\ndata: [DONE]\n\n`);
 };
 
-const answerWhole = async (call: Call, response: ServerResponse) => {
+const sendCompleteAnswer = async (call: Call, response: ServerResponse) => {
 	const total = call.body.max_tokens ?? 16;
-	await pace(total * faults.stepMs, call.signal);
+	await sleepScaled(total * faults.stepMs, call.signal);
 	if (shouldBreak('after-run')) {
 		response.destroy();
 		return;
@@ -318,13 +318,15 @@
 		isChat: request.url?.includes('/chat/') ?? false,
 		signal,
 	};
-	await pace(
+	await sleepScaled(
 		isWarm(call.prompt)
 			? prefillMs / 10
 			: prefillMs * (1 + call.prompt.length / 16_384),
 		signal,
 	);
-	await (body.stream ? stream(call, response) : answerWhole(call, response));
+	await (body.stream
+		? stream(call, response)
+		: sendCompleteAnswer(call, response));
 };
 
 const servePlain = async (
@@ -333,7 +335,7 @@
 	body: Buffer,
 	signal: AbortSignal,
 ) => {
-	await pace(faults.stepMs, signal);
+	await sleepScaled(faults.stepMs, signal);
 	if (shouldBreak('after-run')) {
 		response.destroy();
 		return;
@@ -373,7 +375,7 @@
 		return;
 	}
 
-	if (faults.isRefusing || !(await didGetSlot())) {
+	if (faults.isRefusing || !(await didAcquireSlot())) {
 		sendJson(
 			response,
 			503,
@@ -436,14 +438,14 @@
 
 		case '/cache-events': {
 			const after = Number(url.searchParams.get('after') ?? 0);
-			const kept = cacheEvents
+			const delivered = cacheEvents
 				.slice(after)
 				.filter(
 					(_, index) =>
 						faults.loseEventEvery === 0 ||
 						(after + index) % faults.loseEventEvery !== 0,
 				);
-			sendJson(response, 200, {first: after, events: kept});
+			sendJson(response, 200, {first: after, events: delivered});
 			return;
 		}
 
--- a/stand-ins/child-process.ts
+++ b/stand-ins/child-process.ts
@@ -5,23 +5,23 @@
 import type {Address} from '../src/shared/index.ts';
 
 /**
-One process of a deployment.
+Child process that runs one member of a deployment.
 */
 export type Process = {
 	readonly name: string;
 	readonly child: ChildProcess;
 	readonly address: Address;
 	/**
-	Resolves with the exit code.
+	Resolves with the exit code, or with undefined if a signal ended the process.
 	*/
 	readonly exited: Promise<number | undefined>;
 };
 
-// However this process ends, what it started ends with it.
+// Child processes to kill when this process exits.
 const running = new Set<ChildProcess>();
 
 /**
-Ends at once whatever was started and still runs.
+Kills all child processes that are still running.
 */
 export const killAll = () => {
 	for (const child of running) {
@@ -30,7 +30,7 @@
 };
 
 /**
-What is started, and where its output goes.
+Command, environment and log folder of a child process.
 */
 export type ProcessOptions = {
 	readonly name: string;
@@ -41,7 +41,7 @@
 };
 
 /**
-Starts a process whose output goes to a file of its name.
+Starts a child process that writes its output to `NAME.log` in the log folder.
 */
 export const startProcess = ({
 	name,
@@ -50,8 +50,8 @@
 	environment = {},
 	logFolder,
 }: ProcessOptions): Process => {
-	const [file, ...words] = command;
-	const child = spawn(file!, words, {
+	const [file, ...args] = command;
+	const child = spawn(file!, args, {
 		env: {...process.env, ...environment},
 		stdio: ['ignore', 'pipe', 'pipe'],
 	});
--- a/stand-ins/configuration-document.ts
+++ b/stand-ins/configuration-document.ts
@@ -1,5 +1,5 @@
 /**
-A configuration document as plain data.
+Configuration document as plain JSON data.
 */
 export type ConfigurationDocument = {
 	version: number;
--- a/stand-ins/crashing-server.ts
+++ b/stand-ins/crashing-server.ts
@@ -12,7 +12,7 @@
 import {standInHeaders} from './stand-in-headers.ts';
 
 /**
-A request that began to run at a server.
+Request that a server began to run.
 */
 export type RecordedRun = {
 	readonly at: number;
@@ -21,7 +21,7 @@
 };
 
 /**
-What all servers of a test write into.
+Record of runs and crashes, shared by all servers of a test.
 */
 export type RunLog = {
 	readonly runs: RecordedRun[];
@@ -29,7 +29,7 @@
 };
 
 /**
-How a server behaves.
+Configures which requests crash a server, its streams and its restart.
 */
 export type CrashingBehaviour = {
 	/**
@@ -37,25 +37,25 @@
 	*/
 	readonly isFatal: (body: string) => boolean;
 	/**
-	Events of a stream, and milliseconds between two of them.
+	Number of events per stream. `pauseMs` is the time between two events, in milliseconds.
 	*/
 	readonly events: number;
 	readonly pauseMs: number;
 	/**
-	How long the server is down after a crash, in milliseconds.
+	Time between a crash and the restart, in milliseconds.
 	*/
 	readonly downMs: number;
 };
 
 /**
-Starts a backend server that some requests crash while it streams to all: it sends an event of the fatal request, ends
-without a word, and starts again under the same id.
+Starts a streaming backend server that crashes on some requests. It sends one event of the fatal request, closes all
+connections without notice, and restarts under the same id.
 */
 export const startCrashingServer = async (
 	registry: StandInRegistry,
 	entry: Omit<RegisteredServer, 'coldMs' | 'isLeaving' | 'startedAt'>,
 	{isFatal, events, pauseMs, downMs}: CrashingBehaviour,
-	book: RunLog,
+	log: RunLog,
 ): Promise<{close(): Promise<void>}> => {
 	let server: Server;
 	let restart: NodeJS.Timeout | undefined;
@@ -65,7 +65,7 @@
 			return;
 		}
 
-		book.crashes.push({at: performance.now(), server: entry.id});
+		log.crashes.push({at: performance.now(), server: entry.id});
 		void closeServer(server);
 		restart = setTimeout(() => {
 			void start();
@@ -73,7 +73,7 @@
 	};
 
 	const run = (response: ServerResponse, body: string, after: number) => {
-		book.runs.push({at: performance.now(), server: entry.id, body});
+		log.runs.push({at: performance.now(), server: entry.id, body});
 		let index = after;
 		const sendNext = () => {
 			index += 1;
@@ -90,7 +90,7 @@
 		sendNext();
 	};
 
-	const take = async (request: IncomingMessage, response: ServerResponse) => {
+	const handle = async (request: IncomingMessage, response: ServerResponse) => {
 		if (request.method === 'GET') {
 			response.writeHead(200, {[standInHeaders.serverId]: entry.id}).end();
 			return;
@@ -108,7 +108,7 @@
 
 	const start = async () => {
 		server = createServer((request, response) => {
-			void take(request, response);
+			void handle(request, response);
 		});
 		await listenAt(server, entry.address);
 		registry.write(`server ${entry.id}`, {
--- a/stand-ins/deployment-calls.ts
+++ b/stand-ins/deployment-calls.ts
@@ -1,40 +1,40 @@
-// Calls to the processes of a deployment: what they are told, and what they tell of themselves.
+// HTTP calls to the processes of a deployment: control of simulated services and administration of nodes.
 import {request} from 'undici';
 import type {Address} from '../src/shared/index.ts';
 import {eventually} from './eventually.ts';
 import {administrationKey} from './node-plans.ts';
 
 /**
-Tells a stand-in what to do from now on.
+Calls the control API of a simulated service.
 */
 export const control = async (
 	address: Address,
-	where: string,
+	path: string,
 	body: unknown = {},
 ): Promise<unknown> =>
 	JSON.parse(
 		await call(
-			`http://${address}/control/${where}`,
+			`http://${address}/control/${path}`,
 			'POST',
 			typeof body === 'string' ? body : JSON.stringify(body),
 		),
 	);
 
 /**
-Asks the administration API of a node.
+Calls the administration API of a node.
 */
-export const askAdministration = async (
+export const callAdministration = async (
 	address: Address,
-	where: string,
+	path: string,
 ): Promise<unknown> =>
 	JSON.parse(
-		await call(`http://${address}/${where}`, 'GET', undefined, {
+		await call(`http://${address}/${path}`, 'GET', undefined, {
 			authorization: `Bearer ${administrationKey}`,
 		}),
 	);
 
 /**
-Asks until there is an answer.
+Repeats a GET request until there is an answer or the time-out ends.
 */
 export const awaitAnswer = async (
 	url: string,
--- a/stand-ins/deployment.ts
+++ b/stand-ins/deployment.ts
@@ -1,12 +1,12 @@
-// Starts a whole deployment as separate processes: platform, backend servers and entry nodes,
-// with relays between the zones. Used by the quickstart, the scenarios and the benchmarks.
+// Starts a complete deployment as separate processes: platform, backend servers and entry nodes,
+// with relays between the zones. The quickstart, the scenarios and the benchmarks use it.
 import {existsSync, mkdtempSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import process from 'node:process';
 import {killAll, startProcess, type Process} from './child-process.ts';
 import type {ConfigurationDocument} from './configuration-document.ts';
-import {askAdministration, awaitAnswer, control} from './deployment-calls.ts';
+import {callAdministration, awaitAnswer, control} from './deployment-calls.ts';
 import {eventually} from './eventually.ts';
 import {freeAddress} from './free-address.ts';
 import {environmentOf, openRelays, planNodes} from './node-plans.ts';
@@ -14,7 +14,7 @@
 import {vmEntriesOf, type VmEntry} from './vm-entries.ts';
 
 /**
-An entry node with its addresses.
+Process of an entry node, with its zone and addresses.
 */
 export type EntryNode = Process & {
 	readonly availabilityZone: string;
@@ -23,13 +23,13 @@
 };
 
 /**
-How a deployment is set up.
+Size, timing and configuration of a deployment.
 */
 export type DeploymentOptions = {
 	readonly document: ConfigurationDocument;
 	readonly nodesPerZone: number;
 	/**
-	Milliseconds one way between two regions.
+	One-way delay between two regions, in milliseconds.
 	*/
 	readonly delayMs: number;
 	readonly stepMs: number;
@@ -38,7 +38,7 @@
 };
 
 /**
-A running deployment.
+Controls a running deployment.
 */
 export type Deployment = {
 	readonly document: ConfigurationDocument;
@@ -46,14 +46,14 @@
 	readonly nodes: Map<string, EntryNode>;
 	readonly backendServers: Map<string, Process>;
 	/**
-	Relays by the two ends they join: `zone>node` and `zone>platform`.
+	Relays, keyed by their ends: `zone>node` and `zone>platform`.
 	*/
 	readonly relays: ReadonlyMap<string, Relay>;
 	readonly logFolder: string;
 	startNode(name: string): Promise<EntryNode>;
 	startBackendServer(id: string): Promise<Process>;
 	/**
-	Publishes a document and returns its text.
+	Publishes a configuration document and returns its text.
 	*/
 	publish(document: unknown): Promise<string>;
 	publishText(text: string): Promise<void>;
@@ -68,7 +68,7 @@
 const builtBinary = 'dist/quillford';
 
 /**
-The command that runs a node; another build can be named for a comparison.
+Returns the command that runs a node. `QUILLFORD_BUNDLE` selects another build.
 */
 const nodeCommand = (): readonly string[] => {
 	const bundle = process.env.QUILLFORD_BUNDLE;
@@ -91,7 +91,7 @@
 export const startDeployment = async (
 	options: DeploymentOptions,
 ): Promise<Deployment> => {
-	// Before anything is started: what runs would keep the tests waiting.
+	// This may throw, so it runs first: processes that were already started would keep the tests from ending.
 	const command = nodeCommand();
 	process.once('exit', killAll);
 	const logFolder = mkdtempSync(path.join(tmpdir(), 'quillford-'));
@@ -192,8 +192,8 @@
 	);
 	await Promise.all(plans.keys().map(async (name) => startNode(name)));
 
-	const administration = async (node: string, where: string) =>
-		askAdministration(nodes.get(node)!.administrationAddress, where);
+	const administration = async (node: string, endpoint: string) =>
+		callAdministration(nodes.get(node)!.administrationAddress, endpoint);
 	await eventually(async () => {
 		for (const name of plans.keys()) {
 			await checkReady(name, plans.size, administration, logFolder);
@@ -252,7 +252,7 @@
 	String(prefillMs),
 ];
 
-// Ready means: a configuration is in force and the node knows of all the others.
+// Throws unless the node has a configuration in force and knows all other nodes.
 const checkReady = async (
 	name: string,
 	nodeCount: number,
@@ -268,7 +268,7 @@
 	).length;
 	if (!ready.isReady || known < nodeCount - 1) {
 		throw new Error(
-			`node ${name} is not ready: knows ${known} others; logs in ${logFolder}`,
+			`node ${name} is not ready: it knows ${known} other nodes; logs in ${logFolder}`,
 		);
 	}
 };
--- a/stand-ins/eventually.ts
+++ b/stand-ins/eventually.ts
@@ -1,24 +1,24 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 
-const pauseMs = 50;
+const retryIntervalMs = 50;
 
 /**
-Tries until it succeeds; fails with the last error once the time is up.
+Repeats an attempt until it succeeds. Throws the last error after the time-out.
 */
 export const eventually = async <Value>(
 	attempt: () => Promise<Value>,
 	timeoutMs: number,
 ): Promise<Value> => {
-	const until = Date.now() + timeoutMs;
+	const deadline = Date.now() + timeoutMs;
 	for (;;) {
 		try {
 			return await attempt();
 		} catch (error) {
-			if (Date.now() >= until) {
+			if (Date.now() >= deadline) {
 				throw error;
 			}
 
-			await sleep(pauseMs);
+			await sleep(retryIntervalMs);
 		}
 	}
 };
--- a/stand-ins/free-address.ts
+++ b/stand-ins/free-address.ts
@@ -5,12 +5,12 @@
 import type {Address} from '../src/shared/index.ts';
 
 const host = '127.0.0.1';
-// Scenarios run side by side; each worker takes its addresses from a range of its own, below
-// the range from which the system takes those of outgoing connections.
+// Scenarios run in parallel, so each worker has a separate port range. The ranges lie below the
+// ephemeral ports of the system, which outgoing connections use.
 const portRange = 5000;
 const workerId = Number(process.env.CUCUMBER_WORKER_ID ?? 0);
 const firstPort = 10_000 + portRange * workerId;
-// Several runs of the scenarios may share a range; they begin apart in it.
+// Several runs of the scenarios may share a range, so each run starts at a random port.
 let lastPort = firstPort + randomInt(portRange);
 
 const canBind = async (port: number): Promise<boolean> => {
@@ -43,7 +43,7 @@
 };
 
 /**
-An address on this machine that is free for TCP and UDP.
+Returns a local address that is free for both TCP and UDP.
 */
 export const freeAddress = async (): Promise<Address> => {
 	for (;;) {
--- a/stand-ins/gateways.ts
+++ b/stand-ins/gateways.ts
@@ -14,36 +14,36 @@
 import {standInHeaders} from './stand-in-headers.ts';
 
 /**
-Nodes and backend servers of one deployment, each at an address of its own on this machine.
+Gateway nodes of a deployment that run in this process, each at its own loopback address.
 */
 export type GatewayDeployment = {
 	readonly registry: StandInRegistry;
 	readonly nodes: readonly Gateway[];
 	readonly callerAddresses: readonly Address[];
 	/**
-	An address that nothing else uses.
+	Returns an unused address for a backend server.
 	*/
 	nextAddress(): Address;
 	/**
-	Ends a node and starts one in its place that knows nothing.
+	Stops a node and starts a new one without state in its place.
 	*/
 	restart(index: number): Promise<void>;
 	stop(): Promise<void>;
 };
 
-// Ports of a node; each node has an IP number of its own.
+// All nodes use the same ports, because each node has its own IP address.
 const callerPort = 8000;
 const peerPort = 8001;
 const serverPort = 8002;
 const largestOctet = 250;
 
 /**
-Starts nodes, the first ones in the first zone and so on by turns.
+Starts gateway nodes, assigned to the zones in round-robin order.
 
-@param zones The region of each zone.
-@param count How many nodes there are.
-@param registry Read by all of them.
-@param clocks The clocks of their machine.
+@param zones Region of each zone, by name of the zone.
+@param count Number of nodes.
+@param registry Registry that all nodes read.
+@param clocks Clocks that all nodes use.
 */
 export const startGateways = async (
 	zones: Readonly<Record<string, string>>,
@@ -58,11 +58,11 @@
 		return `${network}.${host}`;
 	};
 
-	const names = Object.keys(zones);
+	const zoneNames = Object.keys(zones);
 	const hosts = Array.from({length: count}, nextHost);
 	const optionsOf = (index: number): GatewayOptions => ({
 		id: `node-${index}`,
-		availabilityZone: names[index % names.length]!,
+		availabilityZone: zoneNames[index % zoneNames.length]!,
 		zones,
 		callerAddress: `${hosts[index]!}:${callerPort}`,
 		peerAddress: `${hosts[index]!}:${peerPort}`,
--- a/stand-ins/http-server.ts
+++ b/stand-ins/http-server.ts
@@ -8,7 +8,7 @@
 import type {Address} from '../src/shared/index.ts';
 
 /**
-Reads a whole body.
+Reads the complete body of a request.
 */
 export const readBody = async (request: IncomingMessage): Promise<Buffer> => {
 	const chunks: Buffer[] = [];
@@ -20,7 +20,7 @@
 };
 
 /**
-Reads a whole body as text.
+Reads the complete body of a request as UTF-8 text.
 */
 export const readText = async (request: IncomingMessage): Promise<string> => {
 	const body = await readBody(request);
@@ -28,7 +28,7 @@
 };
 
 /**
-Sends a JSON answer.
+Sends a response with a JSON body.
 */
 export const sendJson = (
 	response: ServerResponse,
@@ -41,7 +41,7 @@
 };
 
 /**
-Starts a server at `IP:PORT`.
+Starts an HTTP server at `IP:PORT`. Closes the connection if the handler rejects.
 */
 export const listen = async (
 	address: string,
@@ -60,7 +60,7 @@
 };
 
 /**
-Waits; resolves early when the signal aborts.
+Waits for the given time. Resolves early if the signal aborts.
 */
 export const sleep = async (
 	milliseconds: number,
@@ -79,7 +79,7 @@
 	});
 
 /**
-Starts listening at an IP number and port.
+Binds an existing server to `IP:PORT`. Rejects if the address can't be bound.
 */
 export const listenAt = async (
 	server: Server,
--- a/stand-ins/node-plans.ts
+++ b/stand-ins/node-plans.ts
@@ -3,12 +3,12 @@
 import {openRelay, type Relay} from './relay.ts';
 
 /**
-Where the nodes of a deployment are to listen, by their names.
+Zones and listening addresses of the nodes of a deployment, by node name.
 */
 export type NodePlans = ReadonlyMap<string, NodePlan>;
 
 /**
-Where one node is to listen.
+Zone and listening addresses of one node.
 */
 export type NodePlan = {
 	readonly availabilityZone: string;
@@ -18,17 +18,17 @@
 };
 
 /**
-The key of the administration API in deployments of this kind.
+Key of the administration API in simulated deployments.
 */
 export const administrationKey = 'stand-in-administration-key';
 
 /**
-The key that the nodes of such a deployment share.
+Key that the nodes of a simulated deployment share.
 */
 export const peerKey = 'stand-in-peer-key-0123456789';
 
 /**
-Plans so many nodes in each zone.
+Assigns names and free addresses to the given number of nodes per zone.
 */
 export const planNodes = async (
 	availabilityZones: readonly string[],
@@ -50,8 +50,8 @@
 };
 
 /**
-The ways from each zone to the platform and to the nodes of other zones, by the two ends they join:
-`zone>platform` and `zone>node`. The delay is in milliseconds one way between two regions.
+Opens relays from each zone to the platform and to the nodes of other zones, keyed by their ends:
+`zone>platform` and `zone>node`. `delayMs` is the one-way delay between two regions, in milliseconds.
 */
 export const openRelays = async (
 	plans: NodePlans,
@@ -66,12 +66,13 @@
 	};
 
 	const openToNodes = async (zone: string) => {
-		const foreign = [...plans].filter(
+		const remoteNodes = [...plans].filter(
 			([, {availabilityZone}]) => availabilityZone !== zone,
 		);
-		for (const [name, {availabilityZone, peer}] of foreign) {
-			const isNear = regionOf.get(availabilityZone) === regionOf.get(zone);
-			await open(`${zone}>${name}`, peer, isNear ? 0 : delayMs);
+		for (const [name, {availabilityZone, peer}] of remoteNodes) {
+			const isSameRegion =
+				regionOf.get(availabilityZone) === regionOf.get(zone);
+			await open(`${zone}>${name}`, peer, isSameRegion ? 0 : delayMs);
 		}
 	};
 
@@ -84,7 +85,7 @@
 };
 
 /**
-The settings of one node of a plan.
+Returns the environment variables that configure one node.
 */
 export const environmentOf = (
 	name: string,
--- a/stand-ins/platform.ts
+++ b/stand-ins/platform.ts
@@ -1,4 +1,4 @@
-// Stands in for the platform: configuration service, VM list, client directory, weight store.
+// Simulated platform: configuration service, VM list, client directory and weight store.
 // Usage: node stand-ins/platform.ts --address IP:PORT
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {parseArgs} from 'node:util';
@@ -6,15 +6,15 @@
 
 type Faults = {
 	/**
-	Every connection breaks.
+	Whether the platform closes every connection without an answer.
 	*/
 	isDown: boolean;
 	/**
-	The document at this place in the order of publication is served, whatever came after.
+	Index, in order of publication, of the document to serve instead of the latest one.
 	*/
 	staleIndex: number | undefined;
 	/**
-	The VM list stays as it is.
+	Whether the served VM list ignores updates.
 	*/
 	isListFrozen: boolean;
 };
@@ -38,10 +38,10 @@
 
 const answerConfiguration = async (url: URL, response: ServerResponse) => {
 	const after = Number(url.searchParams.get('after') ?? 0);
-	const until = Date.now() + Number(url.searchParams.get('waitMs') ?? 0);
+	const deadline = Date.now() + Number(url.searchParams.get('waitMs') ?? 0);
 	while (!faults.isDown) {
 		const document = current();
-		// A stale service does not know that the asker has a later document.
+		// A stale service does not know the later document that the requester has, so it serves its own.
 		if (
 			document &&
 			document.version !== after &&
@@ -53,7 +53,7 @@
 			return;
 		}
 
-		if (Date.now() >= until) {
+		if (Date.now() >= deadline) {
 			response.writeHead(204).end();
 			return;
 		}
--- a/stand-ins/registered-server.ts
+++ b/stand-ins/registered-server.ts
@@ -7,12 +7,12 @@
 import {standInHeaders} from './stand-in-headers.ts';
 
 /**
-How a backend server of the stand-in answers.
+Answer of a simulated backend server: a complete text or a stream of events.
 */
 export type StandInAnswer =
 	| {readonly kind: 'whole'; readonly text: string}
 	/**
-	Events with rising ids, one each `pauseMs` milliseconds.
+	Events with increasing ids, sent at intervals of `pauseMs` milliseconds.
 	*/
 	| {
 			readonly kind: 'events';
@@ -21,19 +21,19 @@
 	  };
 
 /**
-A backend server that registers itself.
+Simulated backend server that is in the registry.
 */
 export type StandInServer = {
 	readonly id: string;
 	/**
-	Ids of the requests that it ran, in order.
+	Ids of the requests that the server ran, in order.
 	*/
 	readonly ran: readonly string[];
 	close(): Promise<void>;
 };
 
 /**
-An event of a stream of the stand-in.
+Returns the text of one event of a simulated stream.
 */
 export const eventOf = (index: number): string =>
 	`id: ${index}\ndata: ${index}\n\n`;
@@ -58,7 +58,7 @@
 };
 
 /**
-Starts a backend server and enters it into the registry.
+Starts a simulated backend server and writes it to the registry.
 */
 export const startStandInServer = async (
 	registry: StandInRegistry,
@@ -102,7 +102,7 @@
 };
 
 /**
-The body of a stream of so many events.
+Returns the body of a stream with the given number of events.
 */
 export const eventsOf = (count: number): string =>
 	Array.from({length: count}, (_, index) => eventOf(index + 1)).join('');
--- a/stand-ins/registry-server.ts
+++ b/stand-ins/registry-server.ts
@@ -12,7 +12,7 @@
 } as const;
 
 /**
-Serves a registry in memory over HTTP.
+Serves an in-memory registry over HTTP.
 */
 export const startRegistryServer = async (
 	registry: StandInRegistry,
@@ -30,8 +30,8 @@
 	};
 
 	const send = async (target: string, response: ServerResponse) => {
-		const found = await answer(target);
-		sendJson(response, statuses[found.kind], found);
+		const result = await answer(target);
+		sendJson(response, statuses[result.kind], result);
 	};
 
 	const server = createServer((request, response) => {
--- a/stand-ins/registry.ts
+++ b/stand-ins/registry.ts
@@ -8,59 +8,59 @@
 import {createLongPollWaiters} from '../src/shared/index.ts';
 
 /**
-A registry in memory that many nodes read.
+In-memory registry that any number of nodes can read.
 */
 export type StandInRegistry = {
 	write(key: string, value: RegistryValue | undefined): void;
 	/**
-	Whether it answers; while it does not, each question fails.
+	Sets whether the registry is available. While it is not, all queries fail.
 	*/
 	setUp(isUp: boolean): void;
 	/**
-	Comes back from the copy that it was after a revision: what was written since is gone, and its revisions are given
-	out again. Held questions end.
+	Restores the registry from a backup at the given revision. Later writes are lost, and new writes reuse their
+	revisions. Ends waiting long polls.
 
-	@returns Writes again what was lost and has not been written since.
+	@returns Function that repeats the lost writes, except those to keys that were written after the restore.
 	*/
 	restore(revision: number): () => void;
 	/**
-	Forgets its changes so far, so that questions for those after an earlier revision fail.
+	Discards the change history, so that queries for changes after an earlier revision fail.
 	*/
 	forgetHistory(): void;
 	revision(): number;
 	source(): RegistrySource;
 	/**
-	Questions that were asked so far.
+	Number of queries so far.
 	*/
 	calls(): number;
 	/**
-	Questions for everything that were asked so far.
+	Number of snapshot queries so far.
 	*/
 	fullReads(): number;
 };
 
 /**
-How a registry tells that it came back from a copy.
+Configures how an in-memory registry reports a restore.
 */
 export type StandInRegistryOptions = {
 	/**
-	Whether its answers state an era.
+	Whether answers include an era, which increases with each restore.
 	*/
 	readonly hasEras?: boolean;
 };
 
 /**
-Builds an empty registry.
+Creates an empty in-memory registry.
 */
 export const createStandInRegistry = ({
 	hasEras = false,
 }: StandInRegistryOptions = {}): StandInRegistry => {
 	const rows = new Map<string, RegistryItem>();
 	let history: RegistryItem[] = [];
-	const held = createLongPollWaiters();
+	const waiters = createLongPollWaiters();
 	let era = 1;
 	let historyFrom = 0;
-	// Other than revisions, these are not given out again.
+	// Unlike revisions, write numbers are not reused after a restore.
 	let writes = 0;
 	const writtenAt = new Map<string, number>();
 	let revision = 0;
@@ -68,7 +68,7 @@
 	let calls = 0;
 	let fullReads = 0;
 
-	const stated = () => (hasEras ? {era, revision} : {revision});
+	const currentPosition = () => (hasEras ? {era, revision} : {revision});
 
 	const put = (item: RegistryItem) => {
 		if (item.value === undefined) {
@@ -87,7 +87,7 @@
 		const item = {key, revision, value};
 		history.push(item);
 		put(item);
-		held.release();
+		waiters.release();
 	};
 
 	return {
@@ -111,7 +111,7 @@
 				put(item);
 			}
 
-			held.release();
+			waiters.release();
 			return () => {
 				for (const [key, value] of lost) {
 					if ((writtenAt.get(key) ?? 0) <= writesBefore) {
@@ -122,7 +122,7 @@
 		},
 		forgetHistory() {
 			historyFrom = revision;
-			held.release();
+			waiters.release();
 		},
 		revision: () => revision,
 		calls: () => calls,
@@ -132,18 +132,22 @@
 				calls += 1;
 				fullReads += 1;
 				return isUp
-					? {kind: 'snapshot', ...stated(), items: rows.values().toArray()}
+					? {
+							kind: 'snapshot',
+							...currentPosition(),
+							items: rows.values().toArray(),
+						}
 					: down;
 			},
 			async changes(after, waitMs) {
 				calls += 1;
-				const askedEra = era;
+				const eraAtQuery = era;
 				if (isUp && revision === after) {
-					await held.wait(waitMs);
+					await waiters.wait(waitMs);
 				}
 
-				// What comes back without eras is another process, which holds no questions.
-				if (!isUp || (!hasEras && era !== askedEra)) {
+				// A registry restored without eras is a new process, which has no waiting queries of the old one.
+				if (!isUp || (!hasEras && era !== eraAtQuery)) {
 					return down;
 				}
 
@@ -151,7 +155,7 @@
 					? {kind: 'history-lost'}
 					: {
 							kind: 'changes',
-							...stated(),
+							...currentPosition(),
 							items: history.filter((item) => item.revision > after),
 						};
 			},
@@ -161,7 +165,7 @@
 };
 
 /**
-Enters routes into the registry.
+Writes the route document to the registry.
 */
 export const writeRoutes = (
 	registry: StandInRegistry,
--- a/stand-ins/relay.ts
+++ b/stand-ins/relay.ts
@@ -1,25 +1,25 @@
-// A relay that stands in for one direction of a network link; it can be cut, healed and slowed.
+// Relay that simulates a network link in one direction, with a delay and partitions.
 import {createSocket} from 'node:dgram';
 import {connect, createServer, type Socket} from 'node:net';
 
 /**
-A link whose traffic passes here.
+Controls a relay.
 */
 export type Relay = {
 	readonly address: string;
 	/**
-	From now on nothing passes; bytes under way wait.
+	Starts a partition: holds back TCP traffic and drops datagrams.
 	*/
 	cut(): void;
 	/**
-	Traffic passes again, what waited first.
+	Ends the partition and forwards the held-back traffic first.
 	*/
 	heal(): void;
 	close(): void;
 };
 
 /**
-Where a relay listens, where it leads, and how long the way is.
+Listening address, target address and one-way delay of a relay.
 */
 export type RelayOptions = {
 	readonly listen: string;
@@ -29,12 +29,12 @@
 
 type Gate = {isCut: boolean; readonly waiting: Array<() => void>};
 
-const split = (address: string): {host: string; port: number} => {
+const parseAddress = (address: string): {host: string; port: number} => {
 	const [host, port] = address.split(':', 2);
 	return {host: host!, port: Number(port)};
 };
 
-const pass = (gate: Gate, delayMs: number, act: () => void) => {
+const forward = (gate: Gate, delayMs: number, act: () => void) => {
 	const release = () => {
 		if (gate.isCut) {
 			gate.waiting.push(act);
@@ -50,25 +50,30 @@
 	}
 };
 
-const join = (from: Socket, to: Socket, gate: Gate, delayMs: number) => {
+const connectSockets = (
+	from: Socket,
+	to: Socket,
+	gate: Gate,
+	delayMs: number,
+) => {
 	from.on('data', (chunk) => {
-		pass(gate, delayMs, () => {
+		forward(gate, delayMs, () => {
 			to.write(chunk);
 		});
 	});
 	from.on('end', () => {
-		pass(gate, delayMs, () => {
+		forward(gate, delayMs, () => {
 			to.end();
 		});
 	});
 	from.on('error', () => {
-		pass(gate, delayMs, () => {
+		forward(gate, delayMs, () => {
 			to.destroy();
 		});
 	});
 	from.on('close', (hadError) => {
 		if (hadError) {
-			pass(gate, delayMs, () => {
+			forward(gate, delayMs, () => {
 				to.destroy();
 			});
 		}
@@ -80,12 +85,12 @@
 */
 export const openRelay = async (options: RelayOptions): Promise<Relay> => {
 	const gate: Gate = {isCut: false, waiting: []};
-	const listen = split(options.listen);
-	const target = split(options.target);
+	const listen = parseAddress(options.listen);
+	const target = parseAddress(options.target);
 	const sockets = new Set<Socket>();
 	const server = createServer({allowHalfOpen: true}, (socket) => {
-		const outward = connect({...target, allowHalfOpen: true});
-		for (const one of [socket, outward]) {
+		const outbound = connect({...target, allowHalfOpen: true});
+		for (const one of [socket, outbound]) {
 			one.setNoDelay(true);
 			sockets.add(one);
 			one.on('close', () => {
@@ -93,15 +98,15 @@
 			});
 		}
 
-		join(socket, outward, gate, options.delayMs);
-		join(outward, socket, gate, options.delayMs);
+		connectSockets(socket, outbound, gate, options.delayMs);
+		connectSockets(outbound, socket, gate, options.delayMs);
 	});
 	await new Promise<void>((resolve) => {
 		server.listen(listen.port, listen.host, resolve);
 	});
 	const datagrams = createSocket('udp4');
 	datagrams.on('message', (message) => {
-		// A datagram that meets a cut is lost for good.
+		// Datagrams that arrive during a partition are dropped.
 		if (!gate.isCut) {
 			setTimeout(() => {
 				datagrams.send(message, target.port, target.host, () => undefined);
--- a/stand-ins/stand-in-headers.ts
+++ b/stand-ins/stand-in-headers.ts
@@ -1,7 +1,7 @@
 import type {WireHeaders} from '../src/gateway/index.ts';
 
 /**
-Header names of a made-up deployment.
+Header names that simulated deployments use.
 */
 export const standInHeaders: WireHeaders = {
 	requestId: 'x-test-id',
--- a/stand-ins/statement-server.ts
+++ b/stand-ins/statement-server.ts
@@ -7,63 +7,64 @@
 import {standInHeaders} from './stand-in-headers.ts';
 
 /**
-What reached a server.
+Request that arrived at a server.
 */
 export type Arrival = {
 	readonly at: number;
 	readonly method: string;
 	readonly body: string;
 	/**
-	Whether it was refused.
+	Whether the server refused the request.
 	*/
 	readonly isRefused: boolean;
 };
 
 /**
-A backend server that states something about itself in its answers.
+Simulated backend server that states its limit or its shutdown in response headers.
 */
 export type StatementServer = {
 	readonly arrivals: readonly Arrival[];
 	/**
-	Names another limit from now on, or none.
+	Sets the limit that further answers state, or removes it.
 	*/
 	setLimit(perSecond: number | undefined): void;
 	/**
-	Announces its shutdown in each answer from now on.
+	Makes all further answers announce the shutdown of the server.
 	*/
 	announceLeaving(): void;
 	/**
-	Refuses requests with 503 from now on.
+	Starts to refuse requests with 503.
 
-	@param retryAfter Asks for so many seconds of rest, if given.
-	@param isShed Which requests, by their bodies.
+	@param retryAfter Value of `Retry-After` in the refusals, if given.
+	@param isShed Selects by body which requests are refused; by default all.
 	*/
 	shed(retryAfter?: string, isShed?: (body: string) => boolean): void;
 	/**
-	Accepts requests again.
+	Stops refusing requests.
 	*/
 	recover(): void;
 	/**
-	Starts again under the same id and address, at another time of start.
+	Simulates a restart under the same id and address, with a new start time.
 	*/
 	restart(startedAt: number): void;
 	/**
-	Writes its registry entry again, which says that it is ready.
+	Writes the registry entry of the server again; the entry states that the server is ready.
 	*/
 	register(): void;
 	close(): Promise<void>;
 };
 
 /**
-How a server answers.
+Timing and number of events of an answer.
 */
 export type ResponseShape = {
 	/**
-	Milliseconds before the answer begins.
+	Delay before the answer begins, in milliseconds.
 	*/
 	readonly beforeMs: number;
 	/**
-	Events of a stream, and milliseconds between two of them; without events the answer is whole.
+	Number of events in a stream, or 0 for an answer without events. `pauseMs` is the time between two events, in
+	milliseconds.
 	*/
 	readonly events: number;
 	readonly pauseMs: number;
@@ -88,7 +89,8 @@
 };
 
 /**
-Starts a backend server that states something about itself in the heads of its answers, and enters it into the registry.
+Starts a simulated backend server that states its limit or its shutdown in response headers, and writes it to the
+registry.
 */
 export const startStatementServer = async (
 	registry: StandInRegistry,
--- a/stand-ins/vm-entries.ts
+++ b/stand-ins/vm-entries.ts
@@ -2,7 +2,7 @@
 import type {NodePlans} from './node-plans.ts';
 
 /**
-One VM in the stand-in's list.
+Entry of the VM list that the simulated platform serves.
 */
 export type VmEntry = {
 	readonly kind: 'entry' | 'backendServer';
@@ -14,7 +14,7 @@
 };
 
 /**
-The VMs of a deployment, all of them live: those of its entry nodes, then those of its backend servers.
+Returns the VM list of a deployment: first the entry nodes, then the backend servers, all in state `live`.
 */
 export const vmEntriesOf = (
 	plans: NodePlans,
