--- a/tools/experiment.ts
+++ b/tools/experiment.ts
@@ -3,7 +3,8 @@
 // Usage: npm run experiment -- --without NAME[,NAME...]|all --sites FILE,... --days NAME,... --seeds own,7,...
 //          [--jobs 4] [--folder ../quillford-experiments] [--picture docs/ablation.svg]
 // QUILLFORD_BENCH is the path of the program that plays days; it is not part of this repository. Each variant
-// is built and played in its own clone of the last commit, so that variants don't share a folder.
+// is built and played in its own clone of the last commit, so that nothing is built or
+// played twice in one folder.
 import {spawnSync, spawn} from 'node:child_process';
 import {
 	appendFileSync,
