--- a/soak/check-soak.ts
+++ b/soak/check-soak.ts
@@ -1,5 +1,5 @@
 /**
-The promises of a gateway, checked against what callers received and servers did.
+Checks the guarantees of the gateway against the records of callers and servers.
 */
 import {mostInSpan} from '../tests/most-in-span.ts';
 import {eventOf} from '../stand-ins/registered-server.ts';
@@ -9,50 +9,50 @@
 import {eventsPerStream, type ServerEvent} from './soak-server.ts';
 
 /**
-A broken promise.
+Violation of a guarantee.
 */
 export type Violation = {
 	readonly promise:
 		| 'at most once'
 		| 'own answer'
-		| 'true refusal'
-		| 'whole stream'
+		| 'refusal without run'
+		| 'complete stream'
 		| 'attempts'
 		| 'leaving'
-		| 'rest'
+		| 'backoff'
 		| 'limit'
-		| 'gone'
+		| 'cancellation'
 		| 'configuration'
 		| 'recovery';
 	readonly detail: string;
 };
 
 /**
-What was seen in a soak, by one clock in milliseconds.
+Records of a soak test. All times are in milliseconds of one clock.
 */
 export type SoakHistory = {
 	readonly records: readonly CallerRecord[];
 	readonly events: readonly ServerEvent[];
 	readonly disturbances: readonly Disturbance[];
 	/**
-	From when on all is sound again.
+	Time from which all nodes and servers work without faults again.
 	*/
 	readonly recoveredAt: number;
 };
 
 const drainMs = 3000;
 const inFlightMs = 500;
-const allowedPerRest = 2;
-// A disturbed node may act on what it had not read by then.
+const allowedPerBackoff = 2;
+// After a disturbance, a node may still act on state from before it.
 const settleMs = 1000;
-const recoveredPart = 0.95;
-const takeInMs = 1500;
+const minimumServedFraction = 0.95;
+const limitAdoptionMs = 1500;
 const limitWindowMs = 4000;
-const goneMs = 500;
-const fewestGone = 3;
+const cancellationMs = 500;
+const allowedUncancelled = 3;
 
 /**
-Finds what was broken; each finding names the request.
+Finds violations of guarantees. Each violation names a request, a server or a count.
 */
 export const checkSoak = (history: SoakHistory): readonly Violation[] => {
 	const byRequest = Map.groupBy(history.events, ({requestId}) => requestId);
@@ -62,7 +62,7 @@
 		),
 		...checkStatements(history),
 		...checkLimits(history),
-		...checkGone(history),
+		...checkCancellation(history),
 		...checkRoutes(history),
 		...checkRecovery(history),
 	];
@@ -75,7 +75,7 @@
 	const {requestId, kind, status, signature, body, isWhole} = record;
 	const runs = events.filter(({isRun}) => isRun);
 	const found: Violation[] = [];
-	const note = (promise: Violation['promise'], isBroken: boolean) => {
+	const addIf = (promise: Violation['promise'], isBroken: boolean) => {
 		if (!isBroken) {
 			return;
 		}
@@ -85,31 +85,34 @@
 	};
 
 	const isServed = status === 200 && isWhole;
-	note('at most once', kind === 'once' && runs.length > 1);
-	note('attempts', events.length > maximumAttempts);
-	note(
-		'true refusal',
+	addIf('at most once', kind === 'once' && runs.length > 1);
+	addIf('attempts', events.length > maximumAttempts);
+	addIf(
+		'refusal without run',
 		kind === 'once' && (status === 503 || status === 429) && runs.length > 0,
 	);
-	note(
+	addIf(
 		'own answer',
 		isServed &&
 			(!signature.endsWith(`/${requestId}`) ||
 				(kind !== 'stream' && body !== requestId)),
 	);
-	note('whole stream', kind === 'stream' && isServed && body !== wholeStream);
-	note(
-		'whole stream',
-		kind === 'stream' && status === 200 && !wholeStream.startsWith(body),
+	addIf(
+		'complete stream',
+		kind === 'stream' && isServed && body !== completeStream,
+	);
+	addIf(
+		'complete stream',
+		kind === 'stream' && status === 200 && !completeStream.startsWith(body),
 	);
 	return found;
 };
 
-const wholeStream = Array.from({length: eventsPerStream}, (_, index) =>
+const completeStream = Array.from({length: eventsPerStream}, (_, index) =>
 	eventOf(index + 1),
 ).join('');
 
-// What a server says binds the node that it told, until that node is disturbed.
+// A node has to follow the statements in the answers that it received, until the node is disturbed.
 const checkStatements = ({
 	events,
 	disturbances,
@@ -121,18 +124,18 @@
 	);
 	for (const [pair, ofPair] of byPair) {
 		const node = nodeOfRequest(ofPair[0]!.requestId);
-		const isExcused = (from: number, until: number) =>
+		const isExempt = (from: number, until: number) =>
 			disturbances.some(
 				(each) =>
 					each.node === node &&
 					each.from <= until &&
 					each.until + settleMs >= from,
 			);
-		for (const [index, told] of ofPair.entries()) {
+		for (const [index, statement] of ofPair.entries()) {
 			const later = ofPair.slice(index + 1);
 			found.push(
-				...checkLeaving(pair, told, later, isExcused),
-				...checkRest(pair, told, later, isExcused),
+				...checkLeaving(pair, statement, later, isExempt),
+				...checkBackoff(pair, statement, later, isExempt),
 			);
 		}
 	}
@@ -140,48 +143,53 @@
 	return found;
 };
 
-type Excuse = (from: number, until: number) => boolean;
+type Exemption = (from: number, until: number) => boolean;
 
 const checkLeaving = (
 	pair: string,
-	told: ServerEvent,
+	statement: ServerEvent,
 	later: readonly ServerEvent[],
-	isExcused: Excuse,
+	isExempt: Exemption,
 ): readonly Violation[] => {
-	// A later answer without the announcement is one of the server's next life.
-	const late = told.isLeaving
-		? later.find(({at}) => at > told.at + drainMs + inFlightMs)
+	// A later answer without the announcement comes from the restarted server.
+	const late = statement.isLeaving
+		? later.find(({at}) => at > statement.at + drainMs + inFlightMs)
 		: undefined;
-	return !late?.isLeaving || isExcused(told.at, late.at)
+	return !late?.isLeaving || isExempt(statement.at, late.at)
 		? []
 		: [
 				{
 					promise: 'leaving',
-					detail: `${pair}: ${late.requestId} ${Math.round(late.at - told.at)} ms after`,
+					detail: `${pair}: ${late.requestId} ${Math.round(late.at - statement.at)} ms after`,
 				},
 			];
 };
 
-const checkRest = (
+const checkBackoff = (
 	pair: string,
-	told: ServerEvent,
+	statement: ServerEvent,
 	later: readonly ServerEvent[],
-	isExcused: Excuse,
+	isExempt: Exemption,
 ): readonly Violation[] => {
-	const {at, backoffMs: restMs} = told;
-	if (restMs === undefined || isExcused(at, at + restMs)) {
+	const {at, backoffMs} = statement;
+	if (backoffMs === undefined || isExempt(at, at + backoffMs)) {
 		return [];
 	}
 
-	const within = later.filter(
+	const refusedEarly = later.filter(
 		(each) =>
 			each.backoffMs !== undefined &&
 			each.at > at + inFlightMs &&
-			each.at < at + restMs,
+			each.at < at + backoffMs,
 	);
-	return within.length <= allowedPerRest
+	return refusedEarly.length <= allowedPerBackoff
 		? []
-		: [{promise: 'rest', detail: `${pair}: ${within.length} in ${restMs} ms`}];
+		: [
+				{
+					promise: 'backoff',
+					detail: `${pair}: ${refusedEarly.length} in ${backoffMs} ms`,
+				},
+			];
 };
 
 const checkLimits = ({
@@ -194,7 +202,7 @@
 		.flatMap((span) => checkLimit(span, disturbances))
 		.toArray();
 
-// Of all nodes together, but for those that were disturbed since the limit was stated first.
+// The limit applies to all nodes together, except nodes that were disturbed after the limit was first stated.
 const checkLimit = (
 	span: LimitedSpan,
 	disturbances: readonly Disturbance[],
@@ -203,7 +211,7 @@
 	const times = span
 		.filter(
 			({at, requestId}) =>
-				at > statedAt + takeInMs &&
+				at > statedAt + limitAdoptionMs &&
 				disturbances.every(
 					({node, from, until}) =>
 						node !== nodeOfRequest(requestId) ||
@@ -212,21 +220,21 @@
 				),
 		)
 		.map(({at}) => at);
-	const most = mostInSpan(times, limitWindowMs);
+	const maximum = mostInSpan(times, limitWindowMs);
 	const allowed = 1.5 * limit * (limitWindowMs / 1000) + 5;
-	return most <= allowed
+	return maximum <= allowed
 		? []
 		: [
 				{
 					promise: 'limit',
-					detail: `${server}: ${most} in ${limitWindowMs} ms, allowed ${allowed}`,
+					detail: `${server}: ${maximum} in ${limitWindowMs} ms, allowed ${allowed}`,
 				},
 			];
 };
 
 type LimitedSpan = readonly [ServerEvent, ...ServerEvent[]];
 
-// The runs of requests whose answers state a limit.
+// Returns the unbroken sequences of requests whose answers state a limit.
 const limitedSpans = (
 	events: readonly ServerEvent[],
 ): readonly LimitedSpan[] => {
@@ -246,8 +254,8 @@
 	return spans;
 };
 
-// Work for callers that left is to end within half a second, but for a quarter of it at most.
-const checkGone = ({
+// Servers' work for callers that disconnected has to end within `cancellationMs`, except for at most a quarter of it.
+const checkCancellation = ({
 	records,
 	events,
 	disturbances,
@@ -260,27 +268,27 @@
 					disturbances.every(
 						(each) =>
 							each.node !== node ||
-							each.from > leftAt + goneMs ||
+							each.from > leftAt + cancellationMs ||
 							each.until + settleMs < leftAt,
 					),
 			)
 			.map(({requestId, leftAt}) => [requestId, leftAt]),
 	);
-	const works = events.filter(({requestId}) => left.has(requestId));
-	const late = works.filter(
-		({requestId, endedAt}) => endedAt > left.get(requestId)! + goneMs,
+	const abandonedWork = events.filter(({requestId}) => left.has(requestId));
+	const late = abandonedWork.filter(
+		({requestId, endedAt}) => endedAt > left.get(requestId)! + cancellationMs,
 	);
-	return late.length > Math.max(fewestGone, works.length / 4)
+	return late.length > Math.max(allowedUncancelled, abandonedWork.length / 4)
 		? [
 				{
-					promise: 'gone',
-					detail: `${late.length} of ${works.length} go on, such as ${late[0]!.requestId}`,
+					promise: 'cancellation',
+					detail: `${late.length} of ${abandonedWork.length} not cancelled, such as ${late[0]!.requestId}`,
 				},
 			]
 		: [];
 };
 
-// A route that was added is not refused as unknown once it must be in force.
+// A node must not answer 404 for an added route that has to be in force by then.
 const checkRoutes = ({
 	records,
 	disturbances,
@@ -306,16 +314,18 @@
 	records,
 	recoveredAt,
 }: SoakHistory): readonly Violation[] => {
-	const calm = records.filter(
+	const afterRecovery = records.filter(
 		({sentAt, leftAt}) => sentAt >= recoveredAt && leftAt === Infinity,
 	);
-	const served = calm.filter(({status, isWhole}) => status === 200 && isWhole);
-	return served.length >= calm.length * recoveredPart
+	const served = afterRecovery.filter(
+		({status, isWhole}) => status === 200 && isWhole,
+	);
+	return served.length >= afterRecovery.length * minimumServedFraction
 		? []
 		: [
 				{
 					promise: 'recovery',
-					detail: `${served.length} of ${calm.length} served`,
+					detail: `${served.length} of ${afterRecovery.length} served`,
 				},
 			];
 };
--- a/soak/fault-plan.ts
+++ b/soak/fault-plan.ts
@@ -1,10 +1,10 @@
 /**
-What goes wrong in a soak, derived from a seed.
+Derives the faults of a soak test from a seed.
 */
 import {createRandom, type Random} from '../src/shared/index.ts';
 
 /**
-One fault and its target.
+Fault, its target and its duration.
 */
 export type Fault =
 	| {
@@ -36,19 +36,19 @@
 			readonly kind: 'registry-restored';
 			readonly forMs: number;
 			/**
-			Writes that the copy lacks.
+			Number of the latest writes that the backup lacks.
 			*/
 			readonly writes: number;
 	  }
 	| {readonly kind: 'routes'; readonly forMs: number};
 
 /**
-A fault and the time of its beginning, in milliseconds from the start of the load.
+Fault and its start time, in milliseconds since the load started.
 */
 export type PlannedFault = {readonly at: number; readonly fault: Fault};
 
 /**
-What a plan is derived from.
+Seed, length and size of the soak test to plan faults for.
 */
 export type PlanOptions = {
 	readonly seed: number;
@@ -69,14 +69,14 @@
 	'crash',
 ] as const;
 
-const mostWritesLost = 8;
-const shortestMs = 500;
-const longestMs = 4000;
-const shortestGapMs = 50;
-const longestGapMs = 900;
+const maximumLostWrites = 8;
+const minimumDurationMs = 500;
+const maximumDurationMs = 4000;
+const minimumGapMs = 50;
+const gapRangeMs = 900;
 
 /**
-Plans faults that overlap, until some time before the end.
+Plans faults that start before `lengthMs` and may overlap.
 */
 export const planFaults = (options: PlanOptions): readonly PlannedFault[] => {
 	const random = createRandom(options.seed);
@@ -84,14 +84,15 @@
 	let at = 500;
 	while (at < options.lengthMs) {
 		plan.push({at, fault: drawFault(random, options)});
-		at += shortestGapMs + random.below(longestGapMs);
+		at += minimumGapMs + random.below(gapRangeMs);
 	}
 
 	return plan;
 };
 
 const drawFault = (random: Random, {nodes, servers}: PlanOptions): Fault => {
-	const forMs = shortestMs + random.below(longestMs - shortestMs);
+	const forMs =
+		minimumDurationMs + random.below(maximumDurationMs - minimumDurationMs);
 	const draw = random.below(13);
 	switch (draw) {
 		case 0: {
@@ -102,7 +103,7 @@
 			return {
 				kind: 'registry-restored',
 				forMs,
-				writes: 1 + random.below(mostWritesLost),
+				writes: 1 + random.below(maximumLostWrites),
 			};
 		}
 
@@ -112,17 +113,17 @@
 		}
 
 		default: {
-			return drawPartFault(random, {nodes, servers}, forMs);
+			return drawNodeOrServerFault(random, {nodes, servers}, forMs);
 		}
 	}
 };
 
-const drawPartFault = (
+const drawNodeOrServerFault = (
 	random: Random,
 	{nodes, servers}: Pick<PlanOptions, 'nodes' | 'servers'>,
 	forMs: number,
 ): Fault =>
-	// The last node and the last server stay sound: what remains can be told from what is lost.
+	// The last node and the last server get no faults, so that some requests can always be served.
 	random.below(9) < 3
 		? {
 				kind: nodeFaults[random.below(nodeFaults.length)]!,
--- a/soak/play-soak.ts
+++ b/soak/play-soak.ts
@@ -1,5 +1,5 @@
 /**
-Plays one soak: real nodes as processes, servers and callers in this one.
+Runs one soak test. The nodes are separate processes; servers and callers run in this process.
 */
 import {randomInt} from 'node:crypto';
 import {mkdtempSync} from 'node:fs';
@@ -20,7 +20,7 @@
 import {startSoakServer, type SoakServer} from './soak-server.ts';
 
 /**
-What a soak is played with.
+Seed, size and load of a soak test.
 */
 export type SoakOptions = {
 	readonly seed: number;
@@ -30,13 +30,13 @@
 	readonly perSecond: number;
 	readonly binary: string;
 	/**
-	Told how far it has come.
+	Called with a line of text when a fault starts.
 	*/
 	readonly onProgress?: (text: string) => void;
 };
 
 /**
-How a soak ended.
+Violations and records of a soak test.
 */
 export type SoakResult = {
 	readonly violations: readonly Violation[];
@@ -48,17 +48,17 @@
 const serverHost = 100;
 const registryHost = 250;
 const port = 8002;
-// Time in which nodes come up and find each other.
+// Time for the nodes to discover each other.
 const settleMs = 3000;
-// Time after the last fault in which all becomes sound, and then in which callers are served again.
-const healMs = 5000;
-const calmMs = 3000;
-const readyTurns = 300;
+// Time to recover after the last fault, followed by the time in which callers have to be served again.
+const recoveryMs = 5000;
+const recoveredLoadMs = 3000;
+const maximumReadyChecks = 300;
 const limitPerSecond = 4;
-const limitMs = 6000;
+const extraLimitMs = 6000;
 
 /**
-Plays a soak and checks it.
+Runs a soak test and checks the guarantees of the gateway.
 */
 export const playSoak = async (options: SoakOptions): Promise<SoakResult> => {
 	const network = `127.${randomInt(2, 250)}.${randomInt(1, 250)}`;
@@ -86,7 +86,7 @@
 	});
 	process.once('exit', killAll);
 	try {
-		await untilReady(nodes);
+		await waitUntilReady(nodes);
 		await sleep(settleMs);
 		const finish = startSoakCallers(
 			nodes.callerAddresses,
@@ -99,9 +99,9 @@
 			server.restart();
 		}
 
-		await sleep(healMs);
+		await sleep(recoveryMs);
 		const recoveredAt = performance.now();
-		await sleep(calmMs);
+		await sleep(recoveredLoadMs);
 		const records = await finish();
 		const history: SoakHistory = {
 			records,
@@ -120,8 +120,8 @@
 	}
 };
 
-const untilReady = async ({callerAddresses}: SoakNodes) => {
-	for (let turn = 0; turn < readyTurns; turn += 1) {
+const waitUntilReady = async ({callerAddresses}: SoakNodes) => {
+	for (let check = 0; check < maximumReadyChecks; check += 1) {
 		const statuses = await Promise.all(
 			callerAddresses.map(async (address) => {
 				try {
@@ -142,22 +142,22 @@
 		await sleep(100);
 	}
 
-	throw new Error('the nodes of the soak do not become ready');
+	throw new Error('the nodes of the soak test did not become ready');
 };
 
-type Scene = {
+type Targets = {
 	readonly nodes: SoakNodes;
 	readonly servers: readonly SoakServer[];
 	readonly routes: SoakRoutes;
 };
 
-const playFaults = async (options: SoakOptions, scene: Scene) => {
+const playFaults = async (options: SoakOptions, targets: Targets) => {
 	const startedAt = performance.now();
 	const ends: Array<Promise<void>> = [];
 	for (const {at, fault} of planFaults(options)) {
 		await sleep(Math.max(0, startedAt + at - performance.now()));
 		options.onProgress?.(`${(at / 1000).toFixed(1)} s ${describe(fault)}`);
-		ends.push(playFault(fault, scene));
+		ends.push(playFault(fault, targets));
 	}
 
 	await Promise.all(ends);
@@ -170,7 +170,7 @@
 
 const playFault = async (
 	fault: Fault,
-	{nodes, servers, routes}: Scene,
+	{nodes, servers, routes}: Targets,
 ): Promise<void> => {
 	switch (fault.kind) {
 		case 'freeze': {
@@ -197,7 +197,7 @@
 
 		case 'limit': {
 			servers[fault.server]!.limit(limitPerSecond);
-			await sleep(fault.forMs + limitMs);
+			await sleep(fault.forMs + extraLimitMs);
 			servers[fault.server]!.limit(undefined);
 			return;
 		}
--- a/soak/run.ts
+++ b/soak/run.ts
@@ -1,5 +1,6 @@
-// Plays soaks: `npm run soak -- --seed 7 --runs 5 --nodes 6 --servers 5 --seconds 20 --rate 120`. Each seed gives one plan of faults.
-// Exits with 1 if a promise was broken, and names the seed and the folder of the nodes' logs.
+// Runs soak tests. Each seed gives one plan of faults. Exits with 1 if a guarantee was violated, and prints the seed
+// and the log folder of the nodes.
+// Usage: npm run soak -- --seed 7 --runs 5 --nodes 6 --servers 5 --seconds 20 --rate 120
 import process from 'node:process';
 import {parseArgs} from 'node:util';
 import {build} from 'hdr-histogram-js';
@@ -32,11 +33,11 @@
 		latencies.recordValue(Math.max(1, Math.round(latencyMs)));
 	}
 
-	return `seed ${seed}: ${history.records.length} requests, ${served.length} served, ${refused.length} refused, p50 ${latencies.getValueAtPercentile(50)} ms, p99 ${latencies.getValueAtPercentile(99)} ms, ${violations.length} broken promises`;
+	return `seed ${seed}: ${history.records.length} requests, ${served.length} served, ${refused.length} refused, p50 ${latencies.getValueAtPercentile(50)} ms, p99 ${latencies.getValueAtPercentile(99)} ms, ${violations.length} violations`;
 };
 
-const first = Number(values.seed);
-for (let seed = first; seed < first + Number(values.runs); seed += 1) {
+const firstSeed = Number(values.seed);
+for (let seed = firstSeed; seed < firstSeed + Number(values.runs); seed += 1) {
 	const result = await playSoak({
 		seed,
 		nodes: Number(values.nodes),
--- a/soak/soak-callers.ts
+++ b/soak/soak-callers.ts
@@ -1,22 +1,22 @@
 /**
-The callers of a soak: they keep using open connections until the process behind them is gone.
+Callers of a soak test. They reuse connections until the node closes them.
 */
 import {Agent, request} from 'undici';
 import {productHeaders} from '../src/gateway/product-headers.ts';
 import type {Random} from '../src/shared/index.ts';
 
 /**
-The kinds of requests.
+Kinds of requests: non-idempotent, idempotent, streaming, and to a route that was added during the test.
 */
 export const requestKinds = ['once', 'repeatable', 'stream', 'added'] as const;
 
 /**
-One of the kinds of requests.
+Kind of a request, which selects its route.
 */
 export type RequestKind = (typeof requestKinds)[number];
 
 /**
-What a caller sent and received.
+Request that a caller sent, and the answer that it received.
 */
 export type CallerRecord = {
 	readonly requestId: string;
@@ -25,7 +25,7 @@
 	readonly node: number;
 	readonly sentAt: number;
 	/**
-	0 where there was no answer.
+	HTTP status, or 0 if there was no answer.
 	*/
 	readonly status: number;
 	readonly signature: string;
@@ -33,26 +33,26 @@
 	readonly isWhole: boolean;
 	readonly latencyMs: number;
 	/**
-	When the caller closed its connection without waiting for the answer; infinite where it did not.
+	Time when the caller disconnected without waiting for the answer; infinite if it did not.
 	*/
 	readonly leftAt: number;
 };
 
 const deadlineMs = 3000;
-// One request in this many is left by its caller, after this time in milliseconds.
+// The caller of every n-th request disconnects before the answer.
 const leaveEvery = 20;
 const leaveAfterMs = 25;
 
 /**
-The node that a request was sent to, by its id.
+Returns the index of the node that received a request; the request id begins with it.
 */
 export const nodeOfRequest = (requestId: string): number =>
 	Number(requestId.split('-', 1)[0]);
 
 /**
-Sends requests at an even pace to random nodes until told to stop.
+Sends requests to random nodes at a constant rate.
 
-@returns Stops, and resolves with all records once each request has ended.
+@returns Function that stops sending and resolves with all records when each request has ended.
 */
 export const startSoakCallers = (
 	addresses: readonly string[],
@@ -76,7 +76,7 @@
 				? `/added/${appliedVersion()}/${sent}`
 				: `/${kind}/${sent}`;
 		const base = {requestId, kind, path, node, sentAt: performance.now()};
-		const passedMs = () => performance.now() - base.sentAt;
+		const elapsedMs = () => performance.now() - base.sentAt;
 		let head = {status: 0, signature: ''};
 		let body = '';
 		try {
@@ -106,7 +106,7 @@
 				...head,
 				body,
 				isWhole: true,
-				latencyMs: passedMs(),
+				latencyMs: elapsedMs(),
 				leftAt: Infinity,
 			};
 		} catch {
@@ -115,7 +115,7 @@
 				...head,
 				body,
 				isWhole: false,
-				latencyMs: passedMs(),
+				latencyMs: elapsedMs(),
 				leftAt: willLeave ? base.sentAt + leaveAfterMs : Infinity,
 			};
 		}
--- a/soak/soak-nodes.ts
+++ b/soak/soak-nodes.ts
@@ -1,10 +1,10 @@
 /**
-The nodes of a soak: processes that are frozen, killed, stopped and started again.
+Nodes of a soak test: processes that are suspended, killed, stopped and restarted.
 */
 import {startProcess, type Process} from '../stand-ins/child-process.ts';
 
 /**
-When a node was not itself, by the checker's clock in milliseconds.
+Time span in which a node was suspended or restarted, in milliseconds of the checker's clock.
 */
 export type Disturbance = {
 	readonly node: number;
@@ -13,7 +13,7 @@
 };
 
 /**
-A set of nodes.
+Controls the nodes of a soak test and records their disturbances.
 */
 export type SoakNodes = {
 	readonly callerAddresses: readonly string[];
@@ -21,7 +21,7 @@
 	pause(node: number): void;
 	resume(node: number): void;
 	/**
-	Ends a node by a signal and starts it again after a while.
+	Ends a node by a signal and restarts it `afterMs` milliseconds after its exit.
 	*/
 	restart(
 		node: number,
@@ -32,7 +32,7 @@
 };
 
 /**
-What nodes are started from.
+Binary, addresses and zones of the nodes.
 */
 export type SoakNodesOptions = {
 	readonly binary: string;
@@ -48,7 +48,7 @@
 const drainMs = 3000;
 
 /**
-Starts nodes of one region.
+Starts nodes in the zones of one region.
 */
 export const startSoakNodes = ({
 	binary,
--- a/soak/soak-routes.ts
+++ b/soak/soak-routes.ts
@@ -1,43 +1,44 @@
 /**
-The routes of a soak, which the operator changes while it runs.
+Routes of a soak test, which change during the test.
 */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {writeRoutes, type StandInRegistry} from '../stand-ins/registry.ts';
 import {documentOf, routeOf, serviceOf} from '../tests/gateway/fixtures.ts';
 
 /**
-The routes, and the registry that holds them.
+Controls the routes and the availability of the registry.
 */
 export type SoakRoutes = {
 	/**
-	Writes a version with one more route.
+	Writes a new version of the document with one more route.
 	*/
 	change(): void;
 	/**
-	The registry is away for a time, in milliseconds.
+	Makes the registry unavailable for the given time in milliseconds.
 	*/
 	takeRegistryDown(forMs: number): Promise<void>;
 	/**
-	The registry is away for a time and comes back from a copy that is some writes old; what was lost is written again a moment later.
+	Makes the registry unavailable, then restores it from a backup that lacks the latest writes. Repeats the lost writes
+	after a short delay.
 	*/
 	restoreRegistry(forMs: number, writes: number): Promise<void>;
 	/**
-	The latest version that all nodes must have in force.
+	Latest version that all nodes must have in force.
 	*/
 	appliedVersion(): number;
 };
 
 /**
-Servers that a request may be sent to.
+Maximum number of servers that a request may be sent to.
 */
 export const maximumAttempts = 2;
 
 /**
-A change binds all nodes this long after the registry has it, in milliseconds.
+Time after a change of the registry by which all undisturbed nodes must apply it, in milliseconds.
 */
 export const applyMs = 3000;
 
-const rewriteMs = 300;
+const lostWriteDelayMs = 300;
 
 const documentWith = (version: number) => {
 	const common = {maximumAttempts, timeoutMs: 3000, targetLatencyMs: 400};
@@ -78,19 +79,19 @@
 };
 
 /**
-Writes the first version.
+Writes the first version of the routes to the registry.
 */
 export const createSoakRoutes = (registry: StandInRegistry): SoakRoutes => {
 	let version = 0;
 	let applied = 0;
-	// Changes with each absence, which may keep nodes from what was written shortly before.
-	let presence = 0;
-	let absences = 0;
+	// Changes when an outage begins or ends: nodes may miss writes shortly before it, so those don't count as applied.
+	let availabilityEpoch = 0;
+	let outages = 0;
 
 	const applyLater = async () => {
-		const written = {version, presence};
+		const written = {version, availabilityEpoch};
 		await sleep(applyMs, undefined, {ref: false});
-		if (absences === 0 && written.presence === presence) {
+		if (outages === 0 && written.availabilityEpoch === availabilityEpoch) {
 			applied = Math.max(applied, written.version);
 		}
 	};
@@ -101,16 +102,16 @@
 		void applyLater();
 	};
 
-	const leave = () => {
-		presence += 1;
-		absences += 1;
+	const beginOutage = () => {
+		availabilityEpoch += 1;
+		outages += 1;
 		registry.setUp(false);
 	};
 
-	const comeBack = () => {
-		presence += 1;
-		absences -= 1;
-		registry.setUp(absences === 0);
+	const endOutage = () => {
+		availabilityEpoch += 1;
+		outages -= 1;
+		registry.setUp(outages === 0);
 		void applyLater();
 	};
 
@@ -119,20 +120,20 @@
 	return {
 		change,
 		async takeRegistryDown(forMs) {
-			leave();
+			beginOutage();
 			await sleep(forMs);
-			comeBack();
+			endOutage();
 		},
 		async restoreRegistry(forMs, writes) {
-			leave();
+			beginOutage();
 			await sleep(forMs);
-			const writeAgain = registry.restore(
+			const repeatLostWrites = registry.restore(
 				Math.max(0, registry.revision() - writes),
 			);
-			comeBack();
-			await sleep(rewriteMs);
-			writeAgain();
-			presence += 1;
+			endOutage();
+			await sleep(lostWriteDelayMs);
+			repeatLostWrites();
+			availabilityEpoch += 1;
 			void applyLater();
 		},
 		appliedVersion: () => applied,
--- a/soak/soak-server.ts
+++ b/soak/soak-server.ts
@@ -1,5 +1,5 @@
 /**
-A backend server that does what servers may do, and writes down what it did.
+Simulated backend server that can refuse, fail, hang and restart, and records its requests.
 */
 import {
 	createServer,
@@ -13,17 +13,17 @@
 import type {StandInRegistry} from '../stand-ins/registry.ts';
 
 /**
-A request that reached a server, and what it was told.
+Request that arrived at a server, and the statements in its answer.
 */
 export type ServerEvent = {
 	/**
-	Milliseconds of the checker's clock.
+	Time of arrival, in milliseconds of the checker's clock.
 	*/
 	readonly at: number;
 	readonly server: string;
 	readonly requestId: string;
 	/**
-	How many events of its stream the caller had.
+	Number of stream events that the caller had already received.
 	*/
 	readonly resumedAfter: number;
 	readonly isRun: boolean;
@@ -32,58 +32,58 @@
 	*/
 	readonly isLeaving: boolean;
 	/**
-	Rest that the answer asked for, in milliseconds.
+	Backoff that the answer requested, in milliseconds.
 	*/
 	readonly backoffMs: number | undefined;
 	/**
-	Requests a second over all nodes that the answer stated; undefined for no limit.
+	Limit that the answer stated, in requests per second over all nodes; undefined for no limit.
 	*/
 	readonly limit: number | undefined;
 	/**
-	When its answer was complete or its connection had closed.
+	Time when the answer was complete or the connection closed.
 	*/
 	endedAt: number;
 };
 
 /**
-How a server behaves now.
+Current behaviour of a server: `sound` serves all requests; `rest` refuses them with `Retry-After`.
 */
 export type Behaviour =
 	'sound' | 'refuse' | 'rest' | 'fail' | 'break' | 'hang' | 'crash';
 
 /**
-A server of a soak.
+Controls a simulated server of a soak test.
 */
 export type SoakServer = {
 	readonly events: readonly ServerEvent[];
 	setBehaviour(behaviour: Behaviour): void;
 	/**
-	Announces its shutdown until it starts again.
+	Makes the server announce its shutdown until it restarts.
 	*/
 	announceShutdown(): void;
 	/**
-	States a rate limit, or none.
+	Sets the limit that answers state, or removes it.
 	*/
 	limit(perSecond: number | undefined): void;
 	/**
-	Starts again under its id, sound.
+	Simulates a restart under the same id and resets all faults.
 	*/
 	restart(): void;
 	close(): Promise<void>;
 };
 
 /**
-Events of a stream.
+Number of events in a complete stream.
 */
 export const eventsPerStream = 5;
 
-const restSeconds = 1.5;
+const backoffSeconds = 1.5;
 const workMs = 15;
 const pauseMs = 10;
 const slots = 16;
 
 /**
-Starts a server and enters it into the registry.
+Starts a simulated server and writes it to the registry.
 */
 export const startSoakServer = async (
 	registry: StandInRegistry,
@@ -122,13 +122,15 @@
 	const refuse = (
 		response: ServerResponse,
 		requestId: string,
-		restMs: number | undefined,
+		backoffMs: number | undefined,
 	) => {
 		response
 			.writeHead(503, {
 				...headersOf(requestId),
 				[productHeaders.notRun]: '1',
-				...(restMs !== undefined && {'retry-after': String(restMs / 1000)}),
+				...(backoffMs !== undefined && {
+					'retry-after': String(backoffMs / 1000),
+				}),
 			})
 			.end();
 	};
@@ -139,7 +141,7 @@
 		breaksAt: number,
 	) => {
 		let index = after;
-		const next = () => {
+		const sendNext = () => {
 			index += 1;
 			if (index === breaksAt) {
 				response.destroy();
@@ -150,11 +152,11 @@
 			if (index >= eventsPerStream) {
 				response.end();
 			} else {
-				setTimeout(next, pauseMs);
+				setTimeout(sendNext, pauseMs);
 			}
 		};
 
-		next();
+		sendNext();
 	};
 
 	const run = (
@@ -215,7 +217,8 @@
 
 			const requestId = String(request.headers[productHeaders.requestId]);
 			const isRefused = behaviour === 'refuse' || behaviour === 'rest';
-			const restMs = behaviour === 'rest' ? restSeconds * 1000 : undefined;
+			const backoffMs =
+				behaviour === 'rest' ? backoffSeconds * 1000 : undefined;
 			const event: ServerEvent = {
 				at: performance.now(),
 				server: id,
@@ -223,7 +226,7 @@
 				resumedAfter: Number(request.headers['last-event-id'] ?? 0),
 				isRun: !isRefused,
 				isLeaving,
-				backoffMs: restMs,
+				backoffMs,
 				limit,
 				endedAt: Infinity,
 			};
@@ -232,7 +235,7 @@
 				event.endedAt = performance.now();
 			});
 			if (isRefused) {
-				refuse(response, requestId, restMs);
+				refuse(response, requestId, backoffMs);
 			} else {
 				setTimeout(() => {
 					run(request, response, requestId);
--- a/tests/soak/check-soak.test.ts
+++ b/tests/soak/check-soak.test.ts
@@ -37,7 +37,7 @@
 	...change,
 });
 
-const promisesOf = (
+const violatedBy = (
 	history: Partial<SoakHistory>,
 ): ReadonlyArray<Violation['promise']> =>
 	checkSoak({
@@ -48,13 +48,13 @@
 		...history,
 	}).map(({promise}) => promise);
 
-const wholeStream = Array.from({length: eventsPerStream}, (_, index) =>
+const completeStream = Array.from({length: eventsPerStream}, (_, index) =>
 	eventOf(index + 1),
 ).join('');
 
-test('a history in which all was kept has no violation', (t: TestContext) => {
+test('a history without violations yields none', (t: TestContext) => {
 	t.assert.deepStrictEqual(
-		promisesOf({
+		violatedBy({
 			records: [
 				recordOf(),
 				recordOf({requestId: '0-2', status: 503, signature: '', body: ''}),
@@ -62,7 +62,7 @@
 					requestId: '0-3',
 					kind: 'stream',
 					signature: 'a/0-3',
-					body: wholeStream,
+					body: completeStream,
 				}),
 			],
 			events: [
@@ -76,16 +76,16 @@
 	);
 });
 
-const planted: ReadonlyArray<
+const violations: ReadonlyArray<
 	readonly [string, Violation['promise'], Partial<SoakHistory>]
 > = [
 	[
-		'a request that may run once and runs twice',
+		'two runs of a non-idempotent request',
 		'at most once',
 		{records: [recordOf()], events: [eventFor(), eventFor({server: 'b'})]},
 	],
 	[
-		'a request at more servers than its route allows',
+		'more attempts than the route allows',
 		'attempts',
 		{
 			records: [recordOf({kind: 'repeatable'})],
@@ -98,13 +98,13 @@
 		{records: [recordOf({body: '0-2'})], events: [eventFor()]},
 	],
 	[
-		'a refusal of what has run',
-		'true refusal',
+		'a refusal of a request that ran',
+		'refusal without run',
 		{records: [recordOf({status: 503})], events: [eventFor()]},
 	],
 	[
-		'a stream that ends early and looks whole',
-		'whole stream',
+		'a truncated stream that ends without an error',
+		'complete stream',
 		{
 			records: [recordOf({kind: 'stream', body: eventOf(1)})],
 			events: [eventFor()],
@@ -121,8 +121,8 @@
 		},
 	],
 	[
-		'three requests within a rest',
-		'rest',
+		'three requests within a backoff',
+		'backoff',
 		{
 			events: [10, 600, 700, 800].map((at, index) =>
 				eventFor({at, requestId: `0-${index}`, isRun: false, backoffMs: 1500}),
@@ -130,7 +130,7 @@
 		},
 	],
 	[
-		'more requests than a limit of all nodes allows',
+		'more requests than the limit for all nodes together allows',
 		'limit',
 		{
 			events: Array.from({length: 60}, (_, index) =>
@@ -143,13 +143,13 @@
 		},
 	],
 	[
-		'a route refused as unknown though it must be in force',
+		'a 404 for a route that has to be in force',
 		'configuration',
 		{records: [recordOf({kind: 'added', path: '/added/2/1', status: 404})]},
 	],
 	[
-		'work that goes on for callers that left',
-		'gone',
+		'work that continues for callers that disconnected',
+		'cancellation',
 		{
 			records: Array.from({length: 10}, (_, index) =>
 				recordOf({requestId: `0-${index}`, status: 0, leftAt: 25}),
@@ -160,26 +160,26 @@
 		},
 	],
 	[
-		'callers that are not served when all is sound again',
+		'unserved callers after the recovery',
 		'recovery',
 		{records: [recordOf({status: 504, isWhole: false})], recoveredAt: 0},
 	],
 ];
 
-for (const [name, promise, history] of planted) {
+for (const [name, promise, history] of violations) {
 	test(`the check finds ${name}`, (t: TestContext) => {
-		t.assert.ok(promisesOf(history).includes(promise));
+		t.assert.ok(violatedBy(history).includes(promise));
 	});
 }
 
-test('a statement binds the node that was told, until that node is disturbed', (t: TestContext) => {
-	const told = eventFor({isLeaving: true});
+test('a statement binds only the node that received it, until that node is disturbed', (t: TestContext) => {
+	const statement = eventFor({isLeaving: true});
 	const late = eventFor({isLeaving: true, requestId: '0-2', at: 4000});
-	const ofAnother = {...late, requestId: '1-2'};
-	t.assert.deepStrictEqual(promisesOf({events: [told, ofAnother]}), []);
+	const atOtherNode = {...late, requestId: '1-2'};
+	t.assert.deepStrictEqual(violatedBy({events: [statement, atOtherNode]}), []);
 	t.assert.deepStrictEqual(
-		promisesOf({
-			events: [told, late],
+		violatedBy({
+			events: [statement, late],
 			disturbances: [{node: 0, from: 3000, until: 3500}],
 		}),
 		[],
--- a/tests/soak/fault-plan.test.ts
+++ b/tests/soak/fault-plan.test.ts
@@ -3,7 +3,7 @@
 
 const options = {seed: 1, nodes: 6, servers: 5, lengthMs: 120_000};
 
-test('a seed gives one plan', (t: TestContext) => {
+test('the same seed gives the same plan, another seed another one', (t: TestContext) => {
 	t.assert.deepStrictEqual(planFaults(options), planFaults(options));
 	t.assert.notDeepStrictEqual(
 		planFaults(options),
@@ -11,7 +11,7 @@
 	);
 });
 
-test('all kinds of faults occur, and the last node and server stay sound', (t: TestContext) => {
+test('all kinds of faults occur, and none affects the last node or server', (t: TestContext) => {
 	const faults = planFaults(options).map(({fault}) => fault);
 	t.assert.strictEqual(new Set(faults.map(({kind}) => kind)).size, 14);
 	t.assert.ok(
--- a/tests/soak/play-soak.test.ts
+++ b/tests/soak/play-soak.test.ts
@@ -2,7 +2,7 @@
 import {playSoak} from '../../soak/index.ts';
 
 for (const seed of [1, 2]) {
-	test(`nodes keep their promises while nodes and servers fail, seed ${seed}`, async (t: TestContext) => {
+	test(`nodes keep their guarantees while nodes and servers fail, seed ${seed}`, async (t: TestContext) => {
 		const {violations, logFolder} = await playSoak({
 			seed,
 			nodes: 5,
