--- a/src/digests/digest-entry.ts
+++ b/src/digests/digest-entry.ts
@@ -1,10 +1,10 @@
 /**
-Which nodes an entry is meant for.
+Nodes that may receive an entry.
 */
 export type DigestScope = 'availability-zone' | 'everywhere';
 
 /**
-Load of a backend server, as its latest report gave it.
+Load of a backend server according to its latest report.
 */
 export type ServerLoad = {
 	readonly backendServer: string;
@@ -13,18 +13,18 @@
 	readonly slots: number;
 
 	/**
-	Names the engine process; a restart changes it.
+	Identifies the engine process; a restart changes it.
 	*/
 	readonly incarnation: string;
 };
 
 /**
-What one entry says; each kind is small and complete in itself.
+Content of an entry. Each kind is small and self-contained.
 */
 export type DigestValue =
 	| {
 			/**
-			Loads of the backend servers that one node reads.
+			Loads of the backend servers that one node polls.
 			*/
 			readonly kind: 'loads';
 			readonly node: string;
@@ -32,7 +32,7 @@
 	  }
 	| {
 			/**
-			Requests that one node has in flight, by backend server.
+			Requests that one node has in flight, per backend server.
 			*/
 			readonly kind: 'in-flight';
 			readonly node: string;
@@ -40,7 +40,7 @@
 	  }
 	| {
 			/**
-			A backend server that is to be given no new work.
+			A backend server that is shutting down and must not receive new requests.
 			*/
 			readonly kind: 'leaving';
 			readonly backendServer: string;
@@ -48,7 +48,7 @@
 	  }
 	| {
 			/**
-			Capacity of one zone, for nodes of other zones.
+			Capacity of one zone, published for the nodes of other zones.
 			*/
 			readonly kind: 'zone-summary';
 			readonly availabilityZone: string;
@@ -56,7 +56,7 @@
 	  }
 	| {
 			/**
-			Demand of client accounts, in requests a second, at one node or in one zone.
+			Demand of client accounts at one node or in one zone, in requests per second.
 			*/
 			readonly kind: 'demand';
 			readonly holder: string;
@@ -75,29 +75,29 @@
 };
 
 /**
-One entry as it travels; its age lets each receiver date it by its own clock.
+A digest entry in the form that nodes exchange. It carries an age, so that each receiver can compute the observation time on its own clock.
 */
 export type DigestEntry = {
 	readonly reporter: string;
 	/**
-	Start of the reporting process, in milliseconds since the epoch.
+	Start time of the reporting process, in milliseconds since the Unix epoch.
 	*/
 	readonly incarnation: number;
 	/**
-	Rises with each statement of the reporter.
+	Increases with each entry that the reporter publishes.
 	*/
 	readonly counter: number;
 	readonly ageMs: number;
 	readonly scope: DigestScope;
 	/**
-	The reporter's zone; entries for one zone stay in it.
+	Zone of the reporter. Entries with the scope `availability-zone` do not leave it.
 	*/
 	readonly availabilityZone: string;
 	readonly value: DigestValue;
 };
 
 /**
-What an entry is about; a later statement about the same thing replaces it.
+Returns the key of a value. A later entry with the same key replaces the earlier one.
 */
 export const digestKey = (value: DigestValue): string => {
 	switch (value.kind) {
@@ -110,7 +110,7 @@
 		}
 
 		case 'leaving': {
-			// One key for each process: a leaving word is never replaced, only outlived.
+			// Each process has its own key: a leaving entry is never replaced and ends only by expiry.
 			return `leaving/${value.backendServer}/${value.incarnation}`;
 		}
 
--- a/src/digests/digest-table.ts
+++ b/src/digests/digest-table.ts
@@ -6,7 +6,7 @@
 } from './digest-entry.ts';
 
 /**
-An entry with the local time at which its content was observed.
+A digest value with its reporter and the local time at which it was observed.
 */
 export type DatedValue = {
 	readonly value: DigestValue;
@@ -15,13 +15,13 @@
 };
 
 /**
-What a table is built from.
+Identity of the local node, entry sizing and retention of a digest table.
 */
 export type DigestTableOptions = {
 	readonly node: string;
 	readonly availabilityZone: string;
 	/**
-	Start of this process as membership states it; it can rise once when others know a later one.
+	Start time of this process according to membership. It can increase once, if other nodes know a later incarnation.
 	*/
 	readonly incarnation: () => number;
 	/**
@@ -29,38 +29,38 @@
 	*/
 	readonly sizeOf: (entry: DigestEntry) => number;
 	/**
-	Milliseconds after which an entry is dropped.
+	Time after which an entry expires, in milliseconds, per kind.
 	*/
 	readonly retention?: Partial<Record<DigestValue['kind'], number>>;
 };
 
 /**
-Soft state that nodes pass on with their heartbeats.
+Soft state that nodes gossip with their heartbeats.
 */
 export type DigestTable = {
 	/**
-	States something; it is passed on until every reachable node is likely to have it.
+	Publishes a value. It is gossiped until every reachable node is likely to have it.
 	*/
 	put(value: DigestValue, scope: DigestScope, now: number): void;
 	/**
-	Takes in entries of a peer and returns what was news.
+	Merges entries of a peer and returns those that were new.
 	*/
 	apply(entries: readonly DigestEntry[], now: number): readonly DatedValue[];
 	/**
-	Picks entries for a message to a zone, within a size budget in bytes.
+	Selects entries for a message to a zone, within a size budget in bytes.
 	*/
 	select(
 		availabilityZone: string,
-		budget: number,
+		budgetBytes: number,
 		fanOut: number,
 		now: number,
 	): readonly DigestEntry[];
 	/**
-	Everything that may go to a zone; for a node that has just joined or woken.
+	Returns all entries that may be sent to a zone, for a node that has just joined or resumed.
 	*/
 	allEntries(availabilityZone: string, now: number): readonly DigestEntry[];
 	/**
-	Current values of one kind.
+	Returns the unexpired values of one kind.
 	*/
 	values<Kind extends DigestValue['kind']>(
 		kind: Kind,
@@ -78,7 +78,7 @@
 	readonly transmissions: number;
 };
 
-const defaultRetention: Readonly<Record<DigestValue['kind'], number>> = {
+const defaultRetentionMs: Readonly<Record<DigestValue['kind'], number>> = {
 	loads: 30_000,
 	'in-flight': 10_000,
 	leaving: 3_600_000,
@@ -86,15 +86,15 @@
 	demand: 10_000,
 };
 
-// Reports of the same load by two nodes count as equally fresh within this many milliseconds.
-const freshnessMargin = 50;
+// Two nodes' reports of the same load count as equally recent if they differ by no more than this.
+const freshnessMarginMs = 50;
 
 /**
-Builds an empty table.
+Creates an empty digest table.
 */
 export const createDigestTable = (options: DigestTableOptions): DigestTable => {
 	const rows = new Map<string, Row>();
-	const retention = {...defaultRetention, ...options.retention};
+	const retention = {...defaultRetentionMs, ...options.retention};
 	let counter = 0;
 
 	const isExpired = ({entry, observedAt}: Row, now: number) =>
@@ -109,7 +109,7 @@
 		});
 	};
 
-	const isNews = (entry: DigestEntry, observedAt: number): boolean => {
+	const isNewer = (entry: DigestEntry, observedAt: number): boolean => {
 		const known = rows.get(digestKey(entry.value));
 		if (!known) {
 			return true;
@@ -127,18 +127,18 @@
 			);
 		}
 
-		return observedAt > known.observedAt + freshnessMargin;
+		return observedAt > known.observedAt + freshnessMarginMs;
 	};
 
-	const isMeantFor = (entry: DigestEntry, availabilityZone: string) =>
+	const isInScope = (entry: DigestEntry, availabilityZone: string) =>
 		entry.scope === 'everywhere' || entry.availabilityZone === availabilityZone;
 
-	const outgoing = (row: Row, now: number): DigestEntry => ({
+	const withCurrentAge = (row: Row, now: number): DigestEntry => ({
 		...row.entry,
 		ageMs: Math.max(0, Math.round(now - row.observedAt)),
 	});
 
-	const dropExpired = (now: number) => {
+	const evictExpired = (now: number) => {
 		for (const [key, row] of rows) {
 			if (isExpired(row, now)) {
 				rows.delete(key);
@@ -149,7 +149,7 @@
 	return {
 		put(value, scope, now) {
 			const key = digestKey(value);
-			// A leaving word that is already known must not start its rounds anew with each report.
+			// Storing a known leaving entry again would reset its transmission count with each report.
 			if (value.kind === 'leaving' && rows.has(key)) {
 				return;
 			}
@@ -171,61 +171,65 @@
 			);
 		},
 		apply(entries, now) {
-			const news: DatedValue[] = [];
+			const newValues: DatedValue[] = [];
 			for (const entry of entries) {
 				const observedAt = now - entry.ageMs;
 				const isOwn = entry.reporter === options.node;
 				if (!(
 					!isOwn &&
-					isMeantFor(entry, options.availabilityZone) &&
-					isNews(entry, observedAt)
+					isInScope(entry, options.availabilityZone) &&
+					isNewer(entry, observedAt)
 				)) {
 					continue;
 				}
 
 				store(entry, observedAt);
-				news.push({value: entry.value, observedAt, reporter: entry.reporter});
+				newValues.push({
+					value: entry.value,
+					observedAt,
+					reporter: entry.reporter,
+				});
 			}
 
-			return news;
+			return newValues;
 		},
-		select(availabilityZone, budget, fanOut, now) {
-			dropExpired(now);
+		select(availabilityZone, budgetBytes, fanOut, now) {
+			evictExpired(now);
 			const maximumTransmissions = 3 * Math.ceil(Math.log2(fanOut + 2));
-			const ready = [...rows]
+			const sendable = [...rows]
 				.filter(
 					([, row]) =>
 						row.transmissions < maximumTransmissions &&
-						isMeantFor(row.entry, availabilityZone),
+						isInScope(row.entry, availabilityZone),
 				)
 				.toSorted(
 					([, left], [, right]) => left.transmissions - right.transmissions,
 				);
-			const chosen: DigestEntry[] = [];
-			let left = budget;
-			for (const [key, row] of ready) {
-				if (!(row.bytes <= left)) {
+			const selected: DigestEntry[] = [];
+			let remainingBytes = budgetBytes;
+			for (const [key, row] of sendable) {
+				if (!(row.bytes <= remainingBytes)) {
 					continue;
 				}
 
-				left -= row.bytes;
+				remainingBytes -= row.bytes;
 				rows.set(key, {...row, transmissions: row.transmissions + 1});
-				chosen.push(outgoing(row, now));
+				selected.push(withCurrentAge(row, now));
 			}
 
-			return chosen;
+			return selected;
 		},
 		allEntries(availabilityZone, now) {
-			dropExpired(now);
+			evictExpired(now);
 			return rows
 				.values()
 
-				.filter(({entry}) => isMeantFor(entry, availabilityZone))
-				.map((row) => outgoing(row, now))
+				.filter(({entry}) => isInScope(entry, availabilityZone))
+				.map((row) => withCurrentAge(row, now))
 				.toArray();
 		},
 		values(kind, now) {
-			const found = rows
+			const current = rows
 				.values()
 
 				.filter((row) => row.entry.value.kind === kind && !isExpired(row, now))
@@ -235,7 +239,7 @@
 					reporter: entry.reporter,
 				}))
 				.toArray();
-			return found as never;
+			return current as never;
 		},
 		size: () => rows.size,
 	};
--- a/tests/digests/digest-table.test.ts
+++ b/tests/digests/digest-table.test.ts
@@ -23,7 +23,7 @@
 const runningOf = (value: DigestEntry['value']): number =>
 	value.kind === 'loads' ? value.reports[0]!.running : 0;
 
-test('entries of one zone stay in it', () => {
+test('entries scoped to a zone are not offered to other zones', () => {
 	const table = create('n');
 	table.put(loads(1), 'availability-zone', 0);
 	table.put(
@@ -35,7 +35,7 @@
 	assert.equal(table.allEntries('b', 0).length, 1);
 });
 
-test('a message takes entries up to its budget and each is passed on a bounded number of times', () => {
+test('a message holds entries up to its size budget, and each entry is sent a bounded number of times', () => {
 	const table = create('n');
 	for (let index = 0; index < 10; index += 1) {
 		table.put(
@@ -54,14 +54,14 @@
 	assert.equal(sent, 10 * 3 * 3);
 });
 
-test('old entries are dropped', () => {
+test('entries expire after their retention time', () => {
 	const table = create('n');
 	table.put(loads(1), 'availability-zone', 0);
 	assert.equal(table.values('loads', 1000).length, 1);
 	assert.equal(table.values('loads', 100_000).length, 0);
 });
 
-test('in whatever order and however often entries arrive, the latest statement of a reporter stays', () => {
+test('the latest entry of a reporter wins, regardless of delivery order and duplicates', () => {
 	const entries: readonly DigestEntry[] = [1, 2].flatMap((incarnation) =>
 		[1, 2, 3].map((counter) => ({
 			reporter: 'other',
@@ -94,7 +94,7 @@
 	);
 });
 
-test('of two reporters of the same load the fresher one is believed', () => {
+test('of two reports of the same load, the more recent one wins', () => {
 	const table = create('n');
 	const entry = {
 		incarnation: 1,
@@ -107,7 +107,7 @@
 	assert.equal(table.values('loads', 1000)[0]!.value.reports[0]!.running, 1);
 });
 
-test('a node does not take back its own statement from others', () => {
+test('a node ignores its own entries when peers return them', () => {
 	const table = create('n');
 	table.put(loads(5), 'availability-zone', 100);
 	const [echo] = table.allEntries('a', 100);
