--- a/src/administration/explain.ts
+++ b/src/administration/explain.ts
@@ -1,7 +1,7 @@
 import type {Configuration, Policy} from '../configuration/index.ts';
 import type {BackendServerState, Fleet} from '../fleet/index.ts';
 import {
-	judgePolicy,
+	evaluatePolicy,
 	orderedPolicies,
 	parseLabels,
 	type PolicyVerdict,
@@ -103,7 +103,7 @@
 		wallClock: query.at === undefined ? Date.now() : Number(query.at),
 	};
 	const verdicts = orderedPolicies(configuration).map((policy) =>
-		judgePolicy(policy, subject),
+		evaluatePolicy(policy, subject),
 	);
 	const policy = verdicts.find(({verdict}) => verdict === 'matches')?.policy;
 	const regions = policy
--- a/src/policies/is-selected.ts
+++ b/src/policies/is-selected.ts
@@ -5,7 +5,7 @@
 type Expression = Selector['matchExpressions'][number];
 
 /**
-Whether labels satisfy every part of a selector; an empty selector matches everything.
+Returns whether labels satisfy every requirement of a selector. An empty selector matches all labels.
 */
 export const isSelected = (selector: Selector, labels: Labels): boolean =>
 	Object.entries(selector.matchLabels).every(
@@ -23,7 +23,7 @@
 		}
 
 		case 'NotIn': {
-			// As in Kubernetes, an absent label is in no set.
+			// As in Kubernetes, NotIn also matches when the label is absent.
 			return value === undefined || !expression.values.includes(value);
 		}
 
--- a/src/policies/labels.ts
+++ b/src/policies/labels.ts
@@ -7,17 +7,17 @@
 export type Labels = Readonly<Record<string, string>>;
 
 /**
-The most labels that one request may carry.
+Maximum number of labels per request.
 */
 export const maximumLabels = 32;
 
 /**
-The most characters in a label's key or value.
+Maximum length of a label's key and of its value, in characters.
 */
 export const maximumLabelLength = 63;
 
 /**
- Reads labels from a header value.
+ Parses the labels in a header value.
  
  @example
  parseLabels('weight=heavy,desk=dispatch');
@@ -52,7 +52,7 @@
 		}
 
 		if (Object.hasOwn(labels, key) && labels[key] !== value) {
-			return Result.err(contradictory(key));
+			return Result.err(conflicting(key));
 		}
 
 		labels[key] = value;
@@ -67,7 +67,7 @@
 		`Label "${pair}" cannot be read; write key=value, separated by commas`,
 	);
 
-const contradictory = (key: string) =>
+const conflicting = (key: string) =>
 	createGatewayError(
 		'bad-request',
 		`Label "${key}" is given twice with different values; give it once`,
--- a/src/policies/match-policy.ts
+++ b/src/policies/match-policy.ts
@@ -5,23 +5,23 @@
 import {isInSlice} from './slices.ts';
 
 /**
-What a policy is matched against.
+Properties of a request that policies are matched against.
 */
 export type PolicySubject = {
 	readonly labels: Labels;
 	readonly clientName: string;
 	/**
-	Keeps the requests of one session in one slice.
+	Session key; all requests of a session fall into the same slice.
 	*/
 	readonly session: string;
 	/**
-	Milliseconds since the epoch.
+	Time of the request, in milliseconds since the Unix epoch.
 	*/
 	readonly wallClock: number;
 };
 
 /**
-Why a policy does or does not apply to a request.
+Result of matching a policy against a request, with the reason if it does not apply.
 */
 export type PolicyVerdict = {
 	readonly policy: Policy;
@@ -30,7 +30,7 @@
 };
 
 /**
-The policies in the order in which they are tried: priority, then name.
+Returns the policies in evaluation order: highest priority first, then by name.
 */
 export const orderedPolicies = (
 	configuration: Configuration,
@@ -42,9 +42,9 @@
 	);
 
 /**
-The verdict on one policy.
+Evaluates one policy against a request.
 */
-export const judgePolicy = (
+export const evaluatePolicy = (
 	policy: Policy,
 	subject: PolicySubject,
 ): PolicyVerdict => {
@@ -61,13 +61,15 @@
 };
 
 /**
-The first policy that applies, given policies in their order.
+Returns the first matching policy. The policies must be in evaluation order.
 */
 export const matchPolicy = (
 	policies: readonly Policy[],
 	subject: PolicySubject,
 ): Policy | undefined =>
-	policies.find((policy) => judgePolicy(policy, subject).verdict === 'matches');
+	policies.find(
+		(policy) => evaluatePolicy(policy, subject).verdict === 'matches',
+	);
 
 const compareNames = (left: Policy, right: Policy): number =>
 	left.name < right.name ? -1 : 1;
--- a/src/policies/schedules.ts
+++ b/src/policies/schedules.ts
@@ -5,9 +5,9 @@
 const hoursPerDay = 24;
 
 /**
- Whether a schedule is open at a wall-clock time (milliseconds since the epoch).
- 
- Hours are UTC; a window whose end is not after its start runs over midnight.
+ Returns whether a schedule is active at a wall-clock time (milliseconds since the Unix epoch).
+
+ Hours are in UTC. A window whose end is not after its start spans midnight.
  */
 export const isScheduled = (
 	schedule: Policy['schedule'],
--- a/src/policies/slices.ts
+++ b/src/policies/slices.ts
@@ -1,25 +1,25 @@
 import type {Policy} from '../configuration/index.ts';
 import {stableHash} from '../shared/index.ts';
 
-const positions = 10_000;
+const slicePositions = 10_000;
 
 /**
- Where a client's session falls, in percent from 0 up to, but without, 100.
- 
- The hash is the same on every VM, so a session stays in its slice wherever it
- enters; policies with one salt divide the same traffic between them.
+ Returns the position of a client's session, as a percentage from 0 (inclusive) to 100 (exclusive).
+
+ The hash is the same on every VM, so a session stays in its slice on any VM that
+ receives it. Policies with the same salt partition the same traffic.
  */
 export const slicePosition = (
 	salt: string,
 	clientName: string,
 	session: string,
 ): number =>
-	((stableHash(`${salt}\u{0}${clientName}\u{0}${session}`) % positions) /
-		positions) *
+	((stableHash(`${salt}\u{0}${clientName}\u{0}${session}`) % slicePositions) /
+		slicePositions) *
 	100;
 
 /**
-Whether a position lies in a slice; no slice takes everything.
+Returns whether a client's session lies in a slice. Without a slice, every session does.
 */
 export const isInSlice = (
 	slice: Policy['slice'],
--- a/tests/policies/policies.test.ts
+++ b/tests/policies/policies.test.ts
@@ -5,7 +5,7 @@
 	isInSlice,
 	isScheduled,
 	isSelected,
-	judgePolicy,
+	evaluatePolicy,
 	matchPolicy,
 	maximumLabelLength,
 	maximumLabels,
@@ -18,7 +18,7 @@
 const kindOf = (text: string) =>
 	parseLabels(text).match({Ok: () => 'ok', Err: ({kind}) => kind});
 
-test('labels are read from a header', () => {
+test('labels are parsed from a header', () => {
 	assert.deepEqual(parseLabels('weight=heavy, desk=dispatch').unwrapOr({}), {
 		weight: 'heavy',
 		desk: 'dispatch',
@@ -26,7 +26,7 @@
 	assert.deepEqual(parseLabels(undefined).unwrapOr({a: 'b'}), {});
 });
 
-test('labels that are malformed, contradictory or too large are refused', () => {
+test('malformed, conflicting and oversized labels are rejected', () => {
 	assert.equal(kindOf('weight'), 'bad-request');
 	assert.equal(kindOf('a=1,a=2'), 'bad-request');
 	assert.equal(kindOf('a=1,a=1'), 'ok');
@@ -44,7 +44,7 @@
 	);
 });
 
-test('selectors know equality, In, NotIn, Exists and DoesNotExist', () => {
+test('selectors support equality, In, NotIn, Exists and DoesNotExist', () => {
 	const selector = {
 		matchLabels: {weight: 'heavy'},
 		matchExpressions: [
@@ -66,7 +66,7 @@
 	assert.ok(!isSelected(selector, {weight: 'heavy'}));
 });
 
-test('a session stays in its slice, and two slices with one salt divide all traffic', () => {
+test('a session belongs to exactly one of two complementary slices with the same salt', () => {
 	fc.assert(
 		fc.property(
 			fc.string(),
@@ -88,7 +88,7 @@
 	);
 });
 
-test('slices hold about the share that they state', () => {
+test('a slice receives approximately its configured share of sessions', () => {
 	const sessions = Array.from(
 		{length: 10_000},
 		(_, index) => `session-${index}`,
@@ -106,7 +106,7 @@
 	);
 });
 
-test('schedules open by day and hour, also over midnight', () => {
+test('schedules apply by day and hour, also across midnight', () => {
 	const monday = Date.UTC(2026, 10, 30);
 	const hour = 3_600_000;
 	const morning = {days: ['mon'] as const, fromHourUtc: 8, untilHourUtc: 12};
@@ -122,7 +122,7 @@
 	);
 });
 
-test('priority goes first, then the name, and each verdict tells why', () => {
+test('policies are ordered by priority, then by name, and verdicts give the reason', () => {
 	const configuration = exampleConfiguration();
 	const ordered = orderedPolicies(configuration);
 	assert.deepEqual(
@@ -137,14 +137,14 @@
 	};
 	const matched = matchPolicy(ordered, subject)!;
 	assert.ok(matched.name.startsWith('light'));
-	assert.equal(judgePolicy(ordered[0]!, subject).verdict, 'labels-differ');
+	assert.equal(evaluatePolicy(ordered[0]!, subject).verdict, 'labels-differ');
 	const other = ordered.find(
 		({name}) => name.startsWith('light') && name !== matched.name,
 	)!;
-	assert.equal(judgePolicy(other, subject).verdict, 'outside-slice');
+	assert.equal(evaluatePolicy(other, subject).verdict, 'outside-slice');
 	const closed = policyWith(
 		{kind: 'round-robin'},
 		{schedule: {fromHourUtc: 5, untilHourUtc: 6}},
 	);
-	assert.equal(judgePolicy(closed, subject).verdict, 'not-scheduled');
+	assert.equal(evaluatePolicy(closed, subject).verdict, 'not-scheduled');
 });
