--- a/src/routes/prompt-prefix.ts
+++ b/src/routes/prompt-prefix.ts
@@ -4,25 +4,26 @@
 export type PromptPart = {readonly id: string; readonly tokens: number};
 
 /**
-The prompt of a request as its caller describes it.
+The prompt of a request, as described by the caller.
 */
 export type Prompt = {
 	readonly parts: readonly PromptPart[];
 	readonly tokensIn: number;
 	/**
-	The most tokens that the answer may hold.
+	Maximum number of tokens in the response.
 	*/
 	readonly tokensOut: number;
 };
 
 /**
-A shorter shared part is read again faster than a request waits for its place: some milliseconds of
-prefill at the engines that the measurements are from.
+Minimum length of a shared part that affects placement, in tokens. Recomputing a shorter part takes a few
+milliseconds of prefill, which is less than a request waits for a particular server.
 */
 export const smallestSharedTokens = 512;
 
 /**
-Reads `ID:TOKENS,ID:TOKENS`; parts without a count are left out.
+Parses `ID:TOKENS,ID:TOKENS`. Parts without an id or with a count that is not a number are skipped; a missing
+count is 0.
 */
 export const parsePromptParts = (text: string): readonly PromptPart[] =>
 	text
@@ -34,8 +35,8 @@
 		.filter(({id, tokens}) => id !== '' && Number.isFinite(tokens));
 
 /**
-The part by which a request is placed: the longest of those that other requests share, which are
-all but the last. Undefined where no shared part is worth a detour.
+Returns the part that determines the placement of a request: the longest of its shared parts, which are all parts
+except the last. Returns undefined if no shared part is long enough to affect placement.
 */
 export const placementPart = (prompt: Prompt): PromptPart | undefined => {
 	const shared = prompt.parts.slice(0, -1);
--- a/src/routes/route-table.ts
+++ b/src/routes/route-table.ts
@@ -3,23 +3,23 @@
 import type {Route, RouteDocument, Service} from './route.ts';
 
 /**
-Routes ready for lookup.
+Index of the routes, services and client accounts of a route document.
 */
 export type RouteTable = {
 	readonly document: RouteDocument;
 	/**
-	Finds the route with the longest prefix of the path among those of the host.
+	Returns the host's route with the longest path prefix that matches.
 	*/
 	match(host: string, path: string): Route | undefined;
 	service(name: string): Service | undefined;
 	/**
-	Undefined where callers need no key.
+	Client accounts; undefined if callers need no key.
 	*/
 	readonly clients: ClientDirectory | undefined;
 };
 
 /**
-Builds the table of a document.
+Creates the route table of a document.
 */
 export const createRouteTable = (document: RouteDocument): RouteTable => {
 	const byHost = new Map<string, Map<string, Route>>();
@@ -47,7 +47,7 @@
 };
 
 /**
-Picks the service of a request; the same request always gets the same one.
+Selects the service of a request by weight. The result depends only on the route and the request id.
 */
 export const pickService = (route: Route, requestId: string): string => {
 	const {services} = route;
@@ -55,13 +55,13 @@
 		return services[0]!.service;
 	}
 
-	const total = services.reduce((sum, {weight}) => sum + weight, 0);
-	const draw =
-		(keyedWeight(requestId)(route.name) / hashRange) * Math.max(total, 1);
-	let reached = 0;
+	const totalWeight = services.reduce((sum, {weight}) => sum + weight, 0);
+	const position =
+		(keyedWeight(requestId)(route.name) / hashRange) * Math.max(totalWeight, 1);
+	let cumulativeWeight = 0;
 	for (const {service, weight} of services) {
-		reached += weight;
-		if (draw < reached) {
+		cumulativeWeight += weight;
+		if (position < cumulativeWeight) {
 			return service;
 		}
 	}
@@ -71,8 +71,8 @@
 
 const hashRange = 2 ** 32;
 
-// A prefix ends with a slash, so only the cuts behind slashes can be keys: the cost depends on
-// the depth of the path and not on the number of routes.
+// Every prefix ends with a slash, so only the path up to each slash is looked up. The cost depends on the
+// depth of the path, not on the number of routes.
 const longestPrefix = (
 	routes: ReadonlyMap<string, Route>,
 	path: string,
--- a/src/routes/route.ts
+++ b/src/routes/route.ts
@@ -1,7 +1,7 @@
 import type {ClientAccount} from '../clients/index.ts';
 
 /**
-How often a request of a route may run, and the form of its answer.
+Kinds of route: whether a request may run more than once, and whether its response is a stream.
 */
 export const routeKinds = [
 	'idempotent',
@@ -10,12 +10,12 @@
 ] as const;
 
 /**
-One of the kinds of route.
+A kind of route.
 */
 export type RouteKind = (typeof routeKinds)[number];
 
 /**
-A service that takes a share of a route's requests.
+A service that receives a weighted share of a route's requests.
 */
 export type WeightedService = {
 	readonly service: string;
@@ -23,7 +23,7 @@
 };
 
 /**
-Which requests go to which service, and under what terms.
+Maps requests to services and defines how they are served.
 */
 export type Route = {
 	readonly name: string;
@@ -38,41 +38,41 @@
 	readonly kind: RouteKind;
 	readonly services: readonly WeightedService[];
 	/**
-	Longest time a request may be held, in milliseconds.
+	Maximum duration of a request in the gateway, in milliseconds.
 	*/
 	readonly timeoutMs: number;
 	/**
-	Time to the answer, or to the first event of a stream, that users hope for, in milliseconds.
+	Target time to the response, or to the first event of a stream, in milliseconds.
 	*/
 	readonly targetLatencyMs: number;
 	/**
-	0 is the most urgent.
+	Priority; 0 is the highest.
 	*/
 	readonly priority: number;
 	/**
-	The most backend servers that one request may be sent to.
+	Maximum number of backend servers that a request may be sent to.
 	*/
 	readonly maximumAttempts: number;
 	/**
-	Whether a broken stream may be continued at another backend server.
+	Whether a broken stream may be resumed on another backend server.
 	*/
 	readonly isResumable: boolean;
 	/**
-	Whether requests profit from a backend server that has served the same prompt before.
+	Whether requests benefit from a backend server that has served the same prompt before (prompt affinity).
 	*/
 	readonly isSticky: boolean;
 	/**
-	The only regions that may serve the route; empty for all.
+	Regions that may serve the route; an empty list allows all regions.
 	*/
 	readonly homeRegions: readonly string[];
 	/**
-	Whether it asks for no client key.
+	Whether requests are accepted without a client key.
 	*/
 	readonly isPublic: boolean;
 };
 
 /**
-A service as the configuration describes it.
+A service, as configured.
 */
 export type Service = {
 	readonly name: string;
@@ -81,35 +81,35 @@
 	*/
 	readonly healthPath: string;
 	/**
-	Connections that one backend server accepts from all nodes together; 0 where not bounded.
+	Maximum connections to one backend server from all nodes together; 0 means unlimited.
 	*/
 	readonly maximumConnections: number;
 	/**
-	Maximum rate of a cold backend server, over all nodes, in requests a second; 0 where not bounded.
+	Maximum rate of a cold backend server over all nodes, in requests per second; 0 means unlimited.
 	*/
 	readonly coldRequestsPerSecond: number;
 	/**
-	Given for model engines.
+	Set for services that run model engines.
 	*/
 	readonly engine: EngineTraits | undefined;
 };
 
 /**
-What the configuration says of the engines of a service.
+Configured properties of a service's engines.
 */
 export type EngineTraits = {
 	/**
-	Requests that run at the same time.
+	Number of requests that run concurrently.
 	*/
 	readonly slots: number;
 	/**
-	Tokens that the memory of one engine holds.
+	Capacity of one engine's memory, in tokens.
 	*/
 	readonly memoryTokens: number;
 };
 
 /**
-Bounds on what callers may send.
+Limits on what callers may send.
 */
 export type CallerLimits = {
 	readonly maximumHeaderBytes: number;
@@ -119,24 +119,24 @@
 };
 
 /**
-A whole set of routes, as the operator publishes it.
+A complete set of routes, as published by the operator.
 */
 export type RouteDocument = {
 	/**
-	Rises with each change, in uneven steps.
+	Increases with each change, not necessarily by one.
 	*/
 	readonly version: number;
 	readonly routes: readonly Route[];
 	readonly services: readonly Service[];
 	readonly limits: CallerLimits;
 	/**
-	Undefined where callers need no key.
+	Client accounts; undefined if callers need no key.
 	*/
 	readonly clients: readonly ClientAccount[] | undefined;
 };
 
 /**
-Whether a request of the route may run more than once.
+Returns whether a request of the route may run more than once.
 */
 export const isRepeatable = (route: Route): boolean => {
 	switch (route.kind) {
@@ -155,7 +155,7 @@
 };
 
 /**
-Whether a region may serve the route.
+Returns whether a region may serve the route.
 */
 export const isRegionAllowed = (route: Route, region: string): boolean =>
 	route.homeRegions.length === 0 || route.homeRegions.includes(region);
--- a/tests/routes/route-table.test.ts
+++ b/tests/routes/route-table.test.ts
@@ -9,7 +9,7 @@
 } from '../../src/routes/index.ts';
 import {documentOf, routeOf} from '../gateway/fixtures.ts';
 
-test('the longest prefix of the host wins, and a prefix covers whole segments only', () => {
+test('the longest prefix of the host wins, and a prefix matches whole path segments only', () => {
 	const table = createRouteTable(
 		documentOf({
 			routes: [
@@ -26,7 +26,7 @@
 	assert.equal(table.match('unknown.example', '/a/b/'), undefined);
 });
 
-test('a lookup finds what a search through all routes finds', () => {
+test('a lookup returns the same route as a linear search', () => {
 	const path = fc
 		.array(fc.constantFrom('a', 'b', ''), {maxLength: 5})
 		.map((parts) => `/${parts.join('/')}`);
@@ -50,7 +50,7 @@
 	);
 });
 
-test('a split gives each service about its share and each request always the same one', () => {
+test('a weighted split gives each service about its share and maps a request to the same service every time', () => {
 	const route = routeOf({
 		services: [
 			{service: 'old', weight: 90},
@@ -65,7 +65,7 @@
 	assert.equal(pickService(route, 'x'), pickService(route, 'x'));
 });
 
-test('a prompt is placed by its longest shared part, if that is worth a detour', () => {
+test('the longest shared part of a prompt determines its placement if it reaches the minimum length', () => {
 	const parts = parsePromptParts('5c:800, 91:4100,e4:9000');
 	assert.equal(
 		placementPart({parts, tokensIn: 13_900, tokensOut: 80})?.id,
