--- a/src/clients/client-account.ts
+++ b/src/clients/client-account.ts
@@ -1,58 +1,58 @@
 /**
-What a client account's limit counts.
+Units in which the limit of a client account is counted.
 */
 export const limitUnits = ['requests', 'tokens'] as const;
 
 /**
-One of the units.
+Unit of a client account's limit.
 */
 export type LimitUnit = (typeof limitUnits)[number];
 
 /**
-How much a client account may ask for, over all nodes together.
+Rate limit of a client account, over all nodes together.
 */
 export type ClientLimit = {
 	readonly unit: LimitUnit;
 	/**
-	In the unit; above 0.
+	Sustained rate, in units per second; above 0.
 	*/
 	readonly perSecond: number;
 	/**
-	What may come at once beyond that, in the unit.
+	Burst allowance beyond the sustained rate, in units.
 	*/
 	readonly burst: number;
 	/**
-	What a request that states no tokens counts where the unit is tokens.
+	Tokens charged for a request that declares none, if the unit is tokens.
 	*/
 	readonly plainTokens: number;
 };
 
 /**
-A client account as the operator publishes it.
+A client account, as published by the operator.
 */
 export type ClientAccount = {
 	readonly name: string;
 	/**
-	SHA-256 digests of its keys in hexadecimal; the keys themselves are kept nowhere.
+	SHA-256 digests of its keys, in hexadecimal; the keys themselves are not stored.
 	*/
 	readonly keyDigests: readonly string[];
 	/**
-	0 is the most urgent; goes before the priority of the route.
+	Priority; 0 is the highest. It takes precedence over the priority of the route.
 	*/
 	readonly priority: number;
 	/**
-	The only regions that may serve the account; empty for all.
+	Regions that may serve the account; an empty list allows all regions.
 	*/
 	readonly homeRegions: readonly string[];
 	/**
-	Undefined where the account is not limited.
+	Rate limit; undefined if the account has none.
 	*/
 	readonly limit: ClientLimit | undefined;
 };
 
 /**
-What a request counts against the limit of its account, by the tokens of its prompt and the most that its answer may
-hold; undefined where it states none.
+Returns the units that a request uses of its account's limit. `tokens` is the tokens of the prompt plus the maximum
+tokens of the response, or undefined if the request declares none.
 */
 export const limitUnitsUsed = (
 	{unit, plainTokens}: ClientLimit,
--- a/src/clients/client-directory.ts
+++ b/src/clients/client-directory.ts
@@ -2,30 +2,30 @@
 import type {ClientAccount} from './client-account.ts';
 
 /**
-The client accounts of one configuration, ready for lookup.
+Index of the client accounts of one configuration.
 */
 export type ClientDirectory = {
 	readonly all: readonly ClientAccount[];
 	/**
-	Whether any account has a limit.
+	Whether at least one account has a limit.
 	*/
 	readonly hasLimits: boolean;
 	/**
-	Finds the account that holds a key.
+	Returns the account that a key belongs to.
 
-	@param keyDigest SHA-256 of the key in hexadecimal.
+	@param keyDigest SHA-256 digest of the key, in hexadecimal.
 	*/
 	byKey(keyDigest: string): ClientAccount | undefined;
 	byName(name: string): ClientAccount | undefined;
 	/**
-	The route as it holds for an account: only regions that both may use, and the urgency of both. Undefined where
-	no region may serve the account on the route.
+	Returns the route restricted to an account: only regions that both allow, with a priority that combines
+	both. Returns undefined if no region may serve the account on the route.
 	*/
 	bind(route: Route, client: ClientAccount): Route | undefined;
 };
 
 /**
-Builds the directory of one configuration. Where two accounts hold one key, it is the later one's.
+Creates the directory of one configuration. A key that occurs in two accounts belongs to the later one.
 */
 export const createClientDirectory = (
 	clients: readonly ClientAccount[],
@@ -38,14 +38,15 @@
 	);
 	const byName = new Map(clients.map((client) => [client.name, client]));
 	const rankOf = createRanks(clients, routes);
-	// Bound once for each pair that comes up: there may be hundreds of accounts and of routes.
-	const bound = new Map<string, Map<string, Route | undefined>>();
+	// Caches bound routes per account and computes them on first use, because there may be hundreds of accounts
+	// and hundreds of routes.
+	const boundRoutes = new Map<string, Map<string, Route | undefined>>();
 
-	const boundOf = (client: ClientAccount) => {
-		const known =
-			bound.get(client.name) ?? new Map<string, Route | undefined>();
-		bound.set(client.name, known);
-		return known;
+	const boundRoutesOf = (client: ClientAccount) => {
+		const clientRoutes =
+			boundRoutes.get(client.name) ?? new Map<string, Route | undefined>();
+		boundRoutes.set(client.name, clientRoutes);
+		return clientRoutes;
 	};
 
 	return {
@@ -54,12 +55,15 @@
 		byKey: (keyDigest) => byKey.get(keyDigest),
 		byName: (name) => byName.get(name),
 		bind(route, client) {
-			const known = boundOf(client);
-			if (!known.has(route.name)) {
-				known.set(route.name, bindRoute(route, client, rankOf(route, client)));
+			const clientRoutes = boundRoutesOf(client);
+			if (!clientRoutes.has(route.name)) {
+				clientRoutes.set(
+					route.name,
+					bindRoute(route, client, rankOf(route, client)),
+				);
 			}
 
-			return known.get(route.name);
+			return clientRoutes.get(route.name);
 		},
 	};
 };
@@ -69,12 +73,15 @@
 	client: ClientAccount,
 	priority: number,
 ): Route | undefined => {
-	const homeRegions = sharedHomes(route.homeRegions, client.homeRegions);
+	const homeRegions = intersectHomeRegions(
+		route.homeRegions,
+		client.homeRegions,
+	);
 	return homeRegions && {...route, homeRegions, priority};
 };
 
-// Empty stands for all regions, so two lists without a common region have no result.
-const sharedHomes = (
+// An empty list means all regions, so the result is undefined if two lists have no region in common.
+const intersectHomeRegions = (
 	left: readonly string[],
 	right: readonly string[],
 ): readonly string[] | undefined => {
@@ -86,18 +93,18 @@
 	return shared.length === 0 ? undefined : shared;
 };
 
-// The account's priority first, then the route's. Backend servers tell few ranks apart, so the pairs that can
-// come up are numbered without gaps.
+// Ranks by the priority of the account, then by the priority of the route. Backend servers distinguish only a few
+// ranks, so the possible pairs are numbered without gaps.
 const createRanks = (
 	clients: readonly ClientAccount[],
 	routes: readonly Route[],
 ) => {
-	const clientRanks = ascending(clients.map(({priority}) => priority));
-	const routeRanks = ascending(routes.map(({priority}) => priority));
+	const clientRanks = distinctAscending(clients.map(({priority}) => priority));
+	const routeRanks = distinctAscending(routes.map(({priority}) => priority));
 	return (route: Route, client: ClientAccount): number =>
 		clientRanks.indexOf(client.priority) * routeRanks.length +
 		Math.max(0, routeRanks.indexOf(route.priority));
 };
 
-const ascending = (values: readonly number[]): readonly number[] =>
+const distinctAscending = (values: readonly number[]): readonly number[] =>
 	[...new Set(values)].toSorted((left, right) => left - right);
--- a/tests/clients/client-directory.test.ts
+++ b/tests/clients/client-directory.test.ts
@@ -10,7 +10,7 @@
 
 const regions = ['east', 'west', 'north'];
 
-test('an account is found by each of its keys, and the later one where two hold a key', () => {
+test('an account is found by each of its keys, and a key of two accounts belongs to the later one', () => {
 	const directory = createClientDirectory(
 		[
 			accountOf({name: 'first', keyDigests: [sha256('a'), sha256('b')]}),
@@ -25,7 +25,7 @@
 	assert.equal(directory.byName('without-keys')?.name, 'without-keys');
 });
 
-test('only regions that both route and account may use serve a request', () => {
+test('a request is served only in regions that both the route and the account allow', () => {
 	const homes = fc.subarray(regions);
 	fc.assert(
 		fc.property(homes, homes, (routeHomes, clientHomes) => {
@@ -52,7 +52,7 @@
 	);
 });
 
-test("the account's priority goes before the route's, and ranks have no gaps", () => {
+test("the account's priority takes precedence over the route's, and ranks have no gaps", () => {
 	const routes = [
 		routeOf({name: 'urgent', priority: 0}),
 		routeOf({name: 'slow', priority: 7}),
@@ -70,7 +70,7 @@
 	);
 });
 
-test('a request counts one, its tokens, or what plain requests count', () => {
+test('a request uses one unit, its tokens, or the default for requests that declare none', () => {
 	const limit = {unit: 'tokens', perSecond: 10, burst: 0, plainTokens: 200};
 	assert.equal(limitUnitsUsed({...limit, unit: 'requests'}, 5000), 1);
 	assert.equal(limitUnitsUsed({...limit, unit: 'tokens'}, 5000), 5000);
