--- a/src/shared/address.ts
+++ b/src/shared/address.ts
@@ -1,5 +1,5 @@
 /**
-An IP number and port, written `IP:PORT`.
+An IP address and port, in the form `IP:PORT`.
 */
 export type Address = string;
 
@@ -17,7 +17,7 @@
 };
 
 /**
-Whether a text is an IPv4 number with a port.
+Returns whether a text is an IPv4 address with a port.
 */
 export const isAddress = (text: string): boolean => {
 	const match = /^(?<host>\d{1,3}(?:\.\d{1,3}){3}):(?<port>\d{1,5})$/v.exec(
@@ -27,22 +27,22 @@
 		return false;
 	}
 
-	const isBytesFit = match.groups
+	const areOctetsValid = match.groups
 		.host!.split('.')
 		.every((part) => Number(part) <= 255);
-	return isBytesFit && Number(match.groups.port) <= 65_535;
+	return areOctetsValid && Number(match.groups.port) <= 65_535;
 };
 
 /**
- Maps addresses as the platform publishes them to addresses as this VM reaches them.
- 
- Networks between regions often translate addresses; every connection to another
+ Maps an address that the platform publishes to the address at which this VM reaches it.
+
+ Networks between regions often translate addresses, so every connection to another
  VM is opened through this map.
  */
 export type AddressTranslation = (address: Address) => Address;
 
 /**
-Builds a translation from `from=to` pairs; an address without a pair stays as it is.
+Creates a translation from pairs of published and reachable address. An address without a pair is returned unchanged.
 */
 export const createAddressTranslation =
 	(pairs: ReadonlyMap<Address, Address>): AddressTranslation =>
--- a/src/shared/assert-never.ts
+++ b/src/shared/assert-never.ts
@@ -1,5 +1,5 @@
 /**
-Marks a branch that an exhaustive `switch` can never reach.
+Marks a branch that an exhaustive `switch` never reaches.
 */
 export const assertNever = (value: never): never => {
 	throw new Error(`Unhandled case: ${JSON.stringify(value)}`);
--- a/src/shared/bounded-map.ts
+++ b/src/shared/bounded-map.ts
@@ -1,16 +1,16 @@
 /**
-A map that forgets its earliest entry when it grows beyond its bound.
+A map with a maximum size. When it is full, adding a key evicts the entry that was set the longest ago.
 */
 export type BoundedMap<Key, Value> = {
 	/**
-	Sets a value; an entry that is set again counts as the latest.
+	Sets a value. Setting an existing key makes it the most recent entry.
 	*/
 	set(key: Key, value: Value): void;
 	get(key: Key): Value | undefined;
 };
 
 /**
-Builds an empty map.
+Creates an empty bounded map.
 */
 export const createBoundedMap = <Key, Value>(
 	maximumSize: number,
--- a/src/shared/bounded-set.ts
+++ b/src/shared/bounded-set.ts
@@ -1,5 +1,5 @@
 /**
-A set that forgets its earliest member when it grows beyond its bound.
+A set with a maximum size. When it is full, adding an item evicts the item that was added first.
 */
 export type BoundedSet<Item> = {
 	add(item: Item): void;
@@ -8,7 +8,7 @@
 };
 
 /**
-Builds an empty set.
+Creates an empty bounded set.
 */
 export const createBoundedSet = <Item>(
 	maximumSize: number,
--- a/src/shared/derived.ts
+++ b/src/shared/derived.ts
@@ -1,21 +1,21 @@
 /**
-Builds a view that is derived anew only when its source is another object; a source that changes must be replaced,
-not changed.
+Creates a memoized view that is recomputed only when its source is a different object. The source must be replaced
+rather than mutated.
 
-@param source What the view is derived from, asked at each use.
-@param derive Works the view out.
+@param source Returns the source of the view; called at each use.
+@param derive Computes the view from the source.
 */
 export const createDerived = <Source, View>(
 	source: () => Source,
 	derive: (source: Source) => View,
 ): (() => View) => {
-	let known: {readonly source: Source; readonly view: View} | undefined;
+	let cached: {readonly source: Source; readonly view: View} | undefined;
 	return () => {
 		const current = source();
-		if (known?.source !== current) {
-			known = {source: current, view: derive(current)};
+		if (cached?.source !== current) {
+			cached = {source: current, view: derive(current)};
 		}
 
-		return known.view;
+		return cached.view;
 	};
 };
--- a/src/shared/discard-body.ts
+++ b/src/shared/discard-body.ts
@@ -1,10 +1,10 @@
-// Drops an answer that nobody will read.
+// Discards response bodies that are not needed.
 import type {Readable} from 'node:stream';
 
 /**
-Ends an answer unread.
+Destroys a response body without reading it.
 
-An unread answer that is destroyed reports an error, and an error that nobody listens to ends the process.
+Destroying an unread body emits an `error` event, and without a listener that event would terminate the process.
 */
 export const discardBody = (body: Readable): void => {
 	body.on('error', () => undefined);
--- a/src/shared/elapsed-clock.ts
+++ b/src/shared/elapsed-clock.ts
@@ -3,67 +3,67 @@
 */
 export type ClockSources = {
 	/**
-	Only rises, and stands still while the machine is suspended.
+	Monotonic clock. It stops while the machine is suspended.
 	*/
 	readonly steady: () => number;
 	/**
-	Time of day: counts while the machine is suspended, and may be set at any time.
+	Wall clock. It advances while the machine is suspended and can be set at any time.
 	*/
 	readonly wall: () => number;
 	/**
-	Time since the machine's start: counts while it is suspended. What a process is shown may be the time of another machine.
+	Time since the machine's boot, including suspensions. A process may be shown the uptime of another machine.
 	*/
 	readonly uptime: () => number;
 };
 
 /**
-Time that has passed, in milliseconds that only rise; it goes on while the machine is suspended.
+Monotonic clock in milliseconds that includes time during which the machine was suspended.
 */
 export type ElapsedClock = () => number;
 
 /**
-The time of day must leap forward by more than this to be taken for a suspension, in milliseconds. Daemons that set it
-right move it by less at a time.
+A forward jump of the wall clock beyond this counts as a suspension, in milliseconds. Time synchronization daemons adjust
+the clock by less at a time.
 */
-export const shortestSuspensionMs = 400;
+export const minimumSuspensionMs = 400;
 
 /**
-How often the uptime is compared with the steady clock, in milliseconds; each comparison reads a file.
+Interval at which the uptime is compared with the monotonic clock, in milliseconds. Each comparison reads a file.
 */
-export const compareEveryMs = 1000;
+export const comparisonIntervalMs = 1000;
 
 /**
-The uptime counts for true after so many comparisons in which it agreed.
+Number of consecutive comparisons in which the uptime must agree before it is trusted.
 */
-export const comparisonsToTrust = 3;
+export const requiredAgreements = 3;
 
-// How far two clocks may differ over one comparison. The uptime is told in hundredths of a second.
-const agreementMs = 60;
+// Maximum difference between two clocks in one comparison. The uptime has a resolution of a hundredth of a second.
+const toleranceMs = 60;
 
 /**
-Builds a clock that starts at the steady one.
+Creates a clock that starts at the current value of the monotonic clock.
 
-The steady clock alone makes all ages too small after a suspension: what was known before it seems fresh, and requests seem to
-have time left that their callers have waited out. A leap of the time of day shows it. Where the uptime is known to run with
-the steady clock, it tells a suspension from a time of day that was set; where it is not, a leap counts as a suspension, for
-what seems too old is only asked for again.
+After a suspension, the monotonic clock alone makes all ages too small: stale state appears fresh, and requests whose
+deadlines have passed appear to have time left. A forward jump of the wall clock reveals the suspension. If the uptime is
+known to advance with the monotonic clock, it distinguishes a suspension from a wall clock that was set. Otherwise a jump
+counts as a suspension, because state that appears too old is merely requested again.
 
-@param sources The clocks.
-@param onSuspended Told how long the machine was suspended.
+@param sources Clocks of the machine.
+@param onSuspended Called with the duration of a suspension, in milliseconds.
 */
 export const createElapsedClock = (
 	sources: ClockSources,
 	onSuspended: (ms: number) => void,
 ): ElapsedClock => {
 	const {steady, wall, uptime} = sources;
-	let passed = 0;
+	let totalSuspendedMs = 0;
 	let steadyAt = steady();
 	let wallAt = wall();
 	let comparedAt = steadyAt;
 	let uptimeAt = uptime();
 	let agreements = 0;
 
-	// Milliseconds by which the uptime went ahead of the steady clock since the last comparison.
+	// Returns the milliseconds by which the uptime advanced more than the monotonic clock since the last comparison.
 	const compare = (now: number): number => {
 		const uptimeNow = uptime();
 		const ahead = uptimeNow - uptimeAt - (now - comparedAt);
@@ -72,39 +72,39 @@
 		return ahead;
 	};
 
-	const suspendedMs = (leapMs: number, now: number): number => {
-		const isTrusted = agreements >= comparisonsToTrust;
+	const suspendedMs = (jumpMs: number, now: number): number => {
+		const isTrusted = agreements >= requiredAgreements;
 		const aheadMs = compare(now);
-		const isConfirmed = Math.abs(aheadMs - leapMs) <= agreementMs * 2;
-		return isTrusted && !isConfirmed ? 0 : leapMs;
+		const isConfirmed = Math.abs(aheadMs - jumpMs) <= toleranceMs * 2;
+		return isTrusted && !isConfirmed ? 0 : jumpMs;
 	};
 
-	const leapOf = (now: number, wallNow: number): number =>
+	const wallClockJump = (now: number, wallNow: number): number =>
 		wallNow - wallAt - (now - steadyAt);
 
 	return () => {
 		let now = steady();
 		let wallNow = wall();
-		// A process that is stopped between the two readings sees a leap as well; it is gone when they are read again.
-		if (leapOf(now, wallNow) > shortestSuspensionMs) {
+		// A process that is paused between the two readings also sees a jump. Reading both clocks again removes it.
+		if (wallClockJump(now, wallNow) > minimumSuspensionMs) {
 			now = steady();
 			wallNow = wall();
 		}
 
-		const leapMs = leapOf(now, wallNow);
+		const jumpMs = wallClockJump(now, wallNow);
 		steadyAt = now;
 		wallAt = wallNow;
-		if (leapMs > shortestSuspensionMs) {
-			const ms = suspendedMs(leapMs, now);
-			passed += ms;
+		if (jumpMs > minimumSuspensionMs) {
+			const ms = suspendedMs(jumpMs, now);
+			totalSuspendedMs += ms;
 			if (ms > 0) {
 				onSuspended(ms);
 			}
-		} else if (now - comparedAt >= compareEveryMs) {
-			const isAgreed = Math.abs(compare(now)) <= agreementMs;
+		} else if (now - comparedAt >= comparisonIntervalMs) {
+			const isAgreed = Math.abs(compare(now)) <= toleranceMs;
 			agreements = isAgreed ? agreements + 1 : 0;
 		}
 
-		return now + passed;
+		return now + totalSuspendedMs;
 	};
 };
--- a/src/shared/hash.ts
+++ b/src/shared/hash.ts
@@ -3,20 +3,20 @@
 import murmurhash from 'murmurhash';
 
 /**
-A stable 32-bit hash of a text, the same on every VM.
+Returns a 32-bit hash of a text that is the same on every VM.
 */
 export const stableHash = (text: string, seed = 0): number =>
 	murmurhash.v3(text, seed);
 
-// Encoding a text costs far more than mixing two numbers, and the ids of servers and nodes
-// come up again and again: each is hashed once.
+// Caches the hashes of server and node ids: they recur, and encoding a text costs far more than mixing
+// two numbers.
 const idHashes = new Map<string, number>();
 const maximumIdHashes = 10_000;
 
 const idHash = (id: string): number => {
-	const known = idHashes.get(id);
-	if (known !== undefined) {
-		return known;
+	const cached = idHashes.get(id);
+	if (cached !== undefined) {
+		return cached;
 	}
 
 	if (idHashes.size >= maximumIdHashes) {
@@ -28,8 +28,8 @@
 	return hash;
 };
 
-// The last step of MurmurHash over two 32-bit numbers.
-/* eslint-disable no-bitwise -- mixing bits is what a hash does */
+// Applies the finalizer of MurmurHash to two 32-bit numbers.
+/* eslint-disable no-bitwise -- hash functions mix bits */
 const mix = (left: number, right: number): number => {
 	let mixed = left ^ Math.imul(right, 0x9e_37_79_b1);
 	mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85_eb_ca_6b);
@@ -39,9 +39,9 @@
 /* eslint-enable no-bitwise */
 
 /**
- The weight of each id under one key, for rendezvous (highest random weight) hashing.
- 
- Every VM derives the same weights without a message.
+ Returns a function that computes the weight of an id for a key, for rendezvous (highest random weight) hashing.
+
+ Every VM computes the same weights without exchanging messages.
  */
 export const keyedWeight = (key: string): ((id: string) => number) => {
 	const hash = stableHash(key);
@@ -49,10 +49,10 @@
 };
 
 /**
- Orders members by rendezvous hashing for one key.
- 
- Every VM that sees the same members derives the same order; when a member goes, only
- the keys it held move.
+ Sorts members in the rendezvous hashing order of a key.
+
+ Every VM that knows the same members computes the same order. When a member is removed, only
+ the keys that were assigned to it move.
  */
 export const rendezvousOrder = <Member>(
 	key: string,
@@ -75,7 +75,7 @@
 };
 
 /**
-The first member in the order of `rendezvousOrder`, found without sorting.
+Returns the first member in the order of `rendezvousOrder` without sorting.
 */
 export const rendezvousFirst = <Member>(
 	key: string,
@@ -104,13 +104,13 @@
 };
 
 /**
-The SHA-256 digest of a text in hexadecimal, as client keys are stored.
+Returns the SHA-256 digest of a text in hexadecimal, the form in which client keys are stored.
 */
 export const sha256 = (text: string): string =>
 	createHash('sha256').update(text).digest('hex');
 
 /**
-Compares two digests without telling by its time where they differ.
+Compares two digests in constant time, to prevent timing attacks.
 */
 export const isEqualInConstantTime = (left: string, right: string): boolean => {
 	const leftBytes = Buffer.from(left);
--- a/src/shared/header-reader.ts
+++ b/src/shared/header-reader.ts
@@ -1,12 +1,12 @@
 /**
-Headers by their names in lower case; one that was sent more than once has several values.
+Headers by lower-case name. A header that was sent more than once has several values.
 */
 export type HeaderValues = Readonly<
 	Record<string, string | readonly string[] | undefined>
 >;
 
 /**
-Builds a reader that gives the first value of a header.
+Creates a function that returns the first value of a header.
 */
 export const headerReader =
 	(headers: HeaderValues) =>
--- a/src/shared/keyed-loops.ts
+++ b/src/shared/keyed-loops.ts
@@ -1,71 +1,71 @@
 /**
-One turn of a loop; resolves with the pause until the next turn, in milliseconds.
+One iteration of a loop. It resolves with the delay until the next iteration, in milliseconds.
 */
-export type LoopIteration = (isOver: () => boolean) => Promise<number>;
+export type LoopIteration = (isStopped: () => boolean) => Promise<number>;
 
 /**
-Loops that run one for each key, and begin and end as keys come and go.
+A set of loops with one loop per key. Loops start and stop as keys are added and removed.
 */
 export type KeyedLoops = {
 	/**
-	Begins and ends loops; to be called again and again.
+	Starts and stops loops according to the current keys; must be called periodically.
 	*/
 	tick(): void;
 	stop(): void;
 };
 
 /**
-Builds loops that do not run yet.
+Creates a set of loops. No loop runs before the first tick.
 
-@param wanted What to run a loop for now, by key.
-@param begin Builds the turn of a new loop; its state lives as long as the loop.
+@param currentItems Returns the items that need a loop now, by key.
+@param createIteration Creates the iteration function of a new loop. Its state lives as long as the loop.
 */
 export const createKeyedLoops = <Item>(
-	wanted: () => ReadonlyMap<string, Item>,
-	begin: (item: Item) => LoopIteration,
+	currentItems: () => ReadonlyMap<string, Item>,
+	createIteration: (item: Item) => LoopIteration,
 ): KeyedLoops => {
-	const ends = new Map<string, () => void>();
+	const stops = new Map<string, () => void>();
 
-	const run = (key: string, turn: LoopIteration) => {
-		let isOver = false;
+	const run = (key: string, iterate: LoopIteration) => {
+		let isStopped = false;
 		let timer: NodeJS.Timeout | undefined;
 		const next = async () => {
-			const pauseMs = await turn(() => isOver);
-			if (!isOver) {
+			const delayMs = await iterate(() => isStopped);
+			if (!isStopped) {
 				timer = setTimeout(() => {
 					void next();
-				}, pauseMs);
+				}, delayMs);
 			}
 		};
 
-		ends.set(key, () => {
-			isOver = true;
+		stops.set(key, () => {
+			isStopped = true;
 			clearTimeout(timer);
-			ends.delete(key);
+			stops.delete(key);
 		});
 		void next();
 	};
 
-	const endAllBut = (keys: ReadonlySet<string>) => {
-		for (const [key, end] of ends) {
+	const stopAllExcept = (keys: ReadonlySet<string>) => {
+		for (const [key, stop] of stops) {
 			if (!keys.has(key)) {
-				end();
+				stop();
 			}
 		}
 	};
 
 	return {
 		tick() {
-			const items = wanted();
-			endAllBut(new Set(items.keys()));
+			const items = currentItems();
+			stopAllExcept(new Set(items.keys()));
 			for (const [key, item] of items) {
-				if (!ends.has(key)) {
-					run(key, begin(item));
+				if (!stops.has(key)) {
+					run(key, createIteration(item));
 				}
 			}
 		},
 		stop() {
-			endAllBut(new Set());
+			stopAllExcept(new Set());
 		},
 	};
 };
--- a/src/shared/long-poll-waiters.ts
+++ b/src/shared/long-poll-waiters.ts
@@ -1,34 +1,34 @@
 /**
-Calls that are held until there is something to answer.
+Long-poll calls that are waiting for data.
 */
 export type LongPollWaiters = {
 	/**
-	Resolves when `release` is called, or when the longest wait is over.
+	Resolves when `release` is called or the timeout expires.
 	*/
-	wait(longestMs: number): Promise<void>;
+	wait(timeoutMs: number): Promise<void>;
 	release(): void;
 };
 
 /**
-Builds a holder of no calls.
+Creates an empty collection of long-poll waiters.
 */
 export const createLongPollWaiters = (): LongPollWaiters => {
-	const held = new Set<() => void>();
+	const waiters = new Set<() => void>();
 	return {
-		wait: async (longestMs) =>
+		wait: async (timeoutMs) =>
 			new Promise<void>((resolve) => {
-				const done = () => {
+				const resolveWaiter = () => {
 					clearTimeout(timer);
-					held.delete(done);
+					waiters.delete(resolveWaiter);
 					resolve();
 				};
 
-				const timer = setTimeout(done, longestMs);
-				held.add(done);
+				const timer = setTimeout(resolveWaiter, timeoutMs);
+				waiters.add(resolveWaiter);
 			}),
 		release() {
-			for (const done of held) {
-				done();
+			for (const resolveWaiter of waiters) {
+				resolveWaiter();
 			}
 		},
 	};
--- a/src/shared/node-order.ts
+++ b/src/shared/node-order.ts
@@ -2,24 +2,24 @@
 import {keyedWeight} from './hash.ts';
 
 /**
-The place of this node in rendezvous order for a key, such as a backend server (highest random weight: Thaler and Ravishankar,
-1998). All nodes derive the same order from the key, without a message.
+Rank of this node in the rendezvous hashing order (highest random weight; Thaler and Ravishankar, 1998) for a key such as
+a backend server. All nodes compute the same order from the key without exchanging messages.
 */
 export type NodeOrder = {
 	/**
-	Nodes with a higher weight for the key.
+	Returns the number of nodes with a higher weight for the key.
 	*/
 	rank(key: string): number;
 };
 
-// Keys whose ranks are cached; beyond that the cache is emptied.
-const maximumRanks = 5000;
+// Maximum number of cached ranks; the cache is cleared when it is full.
+const maximumCachedRanks = 5000;
 
 /**
-Builds the order. Ranks are cached until the nodes change.
+Creates the order. Ranks are cached until the nodes change.
 
-@param self This node.
-@param nodes Ids of the nodes, with or without this one; replaced when they change.
+@param self Id of this node.
+@param nodes Returns the ids of the nodes, with or without this one. It must return another array when they change.
 */
 export const createNodeOrder = (
 	self: string,
@@ -29,12 +29,12 @@
 
 	return {
 		rank(key) {
-			const known = ranks().get(key);
-			if (known !== undefined) {
-				return known;
+			const cached = ranks().get(key);
+			if (cached !== undefined) {
+				return cached;
 			}
 
-			if (ranks().size >= maximumRanks) {
+			if (ranks().size >= maximumCachedRanks) {
 				ranks().clear();
 			}
 
@@ -51,9 +51,9 @@
 	nodes: readonly string[],
 ): number => {
 	const weightOf = keyedWeight(key);
-	const own = weightOf(self);
+	const ownWeight = weightOf(self);
 	return nodes.filter((id) => {
 		const weight = weightOf(id);
-		return weight === own ? id < self : weight > own;
+		return weight === ownWeight ? id < self : weight > ownWeight;
 	}).length;
 };
--- a/src/shared/random.ts
+++ b/src/shared/random.ts
@@ -2,15 +2,15 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 
 /**
-A seeded source of random numbers, so that every decision can be replayed.
+A seeded pseudorandom number generator, which makes every decision reproducible.
 */
 export type Random = {
 	/**
-	A whole number from 0 up to, but without, `bound`.
+	Returns an integer from 0 (inclusive) to `bound` (exclusive).
 	*/
 	below(bound: number): number;
 	/**
-	A number from 0 up to, but without, 1.
+	Returns a number from 0 (inclusive) to 1 (exclusive).
 	*/
 	fraction(): number;
 };
@@ -18,7 +18,7 @@
 const fractionSteps = 2 ** 30;
 
 /**
-Builds a random source from a whole-number seed.
+Creates a generator from an integer seed.
 */
 export const createRandom = (seed: number): Random => {
 	const generator = xoroshiro128plus(seed);
--- a/tests/shared/derived.test.ts
+++ b/tests/shared/derived.test.ts
@@ -1,20 +1,20 @@
 import {test, type TestContext} from 'node:test';
 import {createDerived} from '../../src/shared/index.ts';
 
-test('a view is derived once for each source', (t: TestContext) => {
+test('a view is derived once per source object', (t: TestContext) => {
 	let source: readonly number[] = [1, 2];
-	let derived = 0;
+	let derivations = 0;
 	const sum = createDerived(
 		() => source,
 		(numbers) => {
-			derived += 1;
+			derivations += 1;
 			return numbers.length;
 		},
 	);
-	t.assert.strictEqual(derived, 0);
+	t.assert.strictEqual(derivations, 0);
 	t.assert.deepStrictEqual([sum(), sum()], [2, 2]);
-	t.assert.strictEqual(derived, 1);
+	t.assert.strictEqual(derivations, 1);
 	source = [...source, 3];
 	t.assert.strictEqual(sum(), 3);
-	t.assert.strictEqual(derived, 2);
+	t.assert.strictEqual(derivations, 2);
 });
--- a/tests/shared/elapsed-clock.test.ts
+++ b/tests/shared/elapsed-clock.test.ts
@@ -1,12 +1,12 @@
 import {test, type TestContext} from 'node:test';
 import {
-	compareEveryMs,
-	comparisonsToTrust,
+	comparisonIntervalMs,
+	requiredAgreements,
 	createElapsedClock,
-	shortestSuspensionMs,
+	minimumSuspensionMs,
 } from '../../src/shared/index.ts';
 
-// A machine whose clocks the test sets.
+// Creates an elapsed clock on simulated machine clocks that the test controls.
 const setUp = () => {
 	const clocks = {steady: 1000, wall: 500_000, uptime: 70_000};
 	const suspensions: number[] = [];
@@ -28,15 +28,15 @@
 	};
 
 	const runLong = (uptimeRate = 1) => {
-		for (let turn = 0; turn <= comparisonsToTrust; turn += 1) {
-			run(compareEveryMs, uptimeRate);
+		for (let turn = 0; turn <= requiredAgreements; turn += 1) {
+			run(comparisonIntervalMs, uptimeRate);
 		}
 	};
 
 	return {clocks, clock, run, runLong, suspensions};
 };
 
-test('time in which the machine was suspended has passed', (t: TestContext) => {
+test('the clock includes time during which the machine was suspended', (t: TestContext) => {
 	const {clocks, clock, runLong, suspensions} = setUp();
 	runLong();
 	const before = clock();
@@ -47,7 +47,7 @@
 	t.assert.strictEqual(clock() - before, 5000);
 });
 
-test('a time of day that is set forward or back moves nothing', (t: TestContext) => {
+test('setting the wall clock forward or back does not change the elapsed time', (t: TestContext) => {
 	const {clocks, clock, runLong, suspensions} = setUp();
 	runLong();
 	const before = clock();
@@ -58,7 +58,7 @@
 	t.assert.deepStrictEqual(suspensions, []);
 });
 
-test('where the uptime is not of this machine, a leap forward counts, and none back', (t: TestContext) => {
+test('if the uptime belongs to another machine, only forward jumps of the wall clock count', (t: TestContext) => {
 	const {clocks, clock, runLong, suspensions} = setUp();
 	runLong(0.3);
 	const before = clock();
@@ -69,15 +69,15 @@
 	t.assert.deepStrictEqual(suspensions, [3000]);
 });
 
-test('what a daemon corrects at a time is no suspension', (t: TestContext) => {
+test('an adjustment by a time synchronization daemon is not a suspension', (t: TestContext) => {
 	const {clocks, clock, runLong, suspensions} = setUp();
 	runLong();
-	clocks.wall += shortestSuspensionMs;
+	clocks.wall += minimumSuspensionMs;
 	clock();
 	t.assert.deepStrictEqual(suspensions, []);
 });
 
-test('a process that is stopped between two readings was not suspended', (t: TestContext) => {
+test('a process that is paused between two clock readings was not suspended', (t: TestContext) => {
 	let stopMs = 0;
 	const clocks = {steady: 1000, wall: 500_000};
 	const suspensions: number[] = [];
@@ -101,12 +101,12 @@
 	t.assert.deepStrictEqual(suspensions, []);
 });
 
-test('it only rises', (t: TestContext) => {
+test('the clock is monotonic', (t: TestContext) => {
 	const {clocks, clock, run} = setUp();
 	let last = clock();
-	for (const leap of [0, 4000, -9000, 600, -300, 2000]) {
-		clocks.wall += leap;
-		const now = run(10, leap % 3 === 0 ? 1 : 4);
+	for (const jump of [0, 4000, -9000, 600, -300, 2000]) {
+		clocks.wall += jump;
+		const now = run(10, jump % 3 === 0 ? 1 : 4);
 		t.assert.ok(now >= last);
 		last = now;
 	}
