--- a/src/errors/answer-table.ts
+++ b/src/errors/answer-table.ts
@@ -1,22 +1,22 @@
 import type {ErrorKind, Outcome} from './error-kind.ts';
 
 /**
-How one error kind is answered over HTTP.
+HTTP response to an error kind.
 */
 export type ErrorAnswer = {
 	readonly status: number;
 	/**
-	The outcome where the error does not carry its own.
+	Default outcome, if the error has none of its own.
 	*/
 	readonly outcome: Outcome;
 	/**
-	Seconds for `Retry-After` where the error does not carry its own.
+	Default value of `Retry-After` in seconds, if the error has none of its own.
 	*/
 	readonly retryAfterSeconds?: number;
 };
 
 /**
-The one table from error kind to answer.
+Maps each error kind to its HTTP response.
 */
 export const answerTable: Readonly<Record<ErrorKind, ErrorAnswer>> = {
 	'bad-request': {status: 400, outcome: 'not-run'},
--- a/src/errors/error-answer.ts
+++ b/src/errors/error-answer.ts
@@ -2,7 +2,7 @@
 import type {GatewayError} from './gateway-error.ts';
 
 /**
-An error as HTTP parts: status, headers and JSON body.
+HTTP response to an error: status, headers and JSON body.
 */
 export type RenderedError = {
 	readonly status: number;
@@ -11,10 +11,10 @@
 };
 
 /**
- Turns an error into its HTTP answer.
- 
- The body has the shape that OpenAI clients read (`error.message`, `error.type`,
- `error.code`), with the outcome and the request id beside them.
+ Renders an error as an HTTP response.
+
+ The body has the structure that OpenAI clients expect (`error.message`, `error.type`,
+ `error.code`), plus the outcome and the request id.
  */
 export const renderError = (
 	error: GatewayError,
@@ -26,7 +26,7 @@
 });
 
 /**
-The JSON body of an error; also the data of the final event of a broken stream.
+Returns the JSON body of an error. It is also the data of the final event of a broken stream.
 */
 export const errorBody = (error: GatewayError, requestId?: string) => ({
 	error: {
@@ -47,7 +47,7 @@
 ): Readonly<Record<string, string>> => ({
 	'content-type': 'application/json',
 	'x-quillford-outcome': outcome,
-	// Only a request that is known not to have run may be sent again by a library on its own.
+	// Client libraries may retry automatically only if the request is known not to have run.
 	'x-should-retry': String(
 		outcome === 'not-run' && retryAfterSeconds !== undefined,
 	),
--- a/src/errors/error-kind.ts
+++ b/src/errors/error-kind.ts
@@ -1,5 +1,5 @@
 /**
-The closed list of reasons for which a request is not answered with a result.
+All kinds of error with which a request can fail.
 */
 export const errorKinds = [
 	'bad-request',
@@ -29,14 +29,14 @@
 ] as const;
 
 /**
-One reason from the closed list.
+One of `errorKinds`.
 */
 export type ErrorKind = (typeof errorKinds)[number];
 
 /**
- Whether a request was run by a backend server.
- 
- `not-run` is only ever claimed with evidence; without evidence either way the
+ Whether a backend server ran a request.
+
+ `not-run` is reported only with evidence. Without evidence either way, the
  outcome is `unknown`.
  */
 export type Outcome = 'ran' | 'not-run' | 'unknown';
--- a/src/errors/gateway-error.ts
+++ b/src/errors/gateway-error.ts
@@ -2,34 +2,34 @@
 import {answerTable} from './answer-table.ts';
 
 /**
-An error as it travels through the gateway until it becomes an answer.
+An error inside the gateway, before it is rendered as an HTTP response.
 */
 export type GatewayError = {
 	readonly kind: ErrorKind;
 	/**
-	What happened and how to mend it, for the caller to read.
+	Describes to the caller what happened and how to fix it.
 	*/
 	readonly message: string;
 	readonly outcome: Outcome;
 	/**
-	Seconds after which coming back is worthwhile; left out where it does not help.
+	Seconds after which a retry is useful; omitted if a retry does not help.
 	*/
 	readonly retryAfterSeconds?: number;
 	/**
-	Base addresses of entry VMs that can be tried in place of this one.
+	Base addresses of alternative entry VMs.
 	*/
 	readonly entryVms?: readonly string[];
 };
 
 /**
-What may be stated about an error beyond its kind and message.
+Optional fields of an error that override the defaults of its kind.
 */
 export type GatewayErrorOptions = Partial<
 	Omit<GatewayError, 'kind' | 'message'>
 >;
 
 /**
- Builds an error; what is not stated comes from the answer table.
+ Creates an error. The outcome and the retry time default to those of its kind in the answer table.
  
  @example
  createGatewayError('unknown-model', 'No service offers model "x"; see GET /v1/models');
--- a/tests/errors/errors.test.ts
+++ b/tests/errors/errors.test.ts
@@ -7,14 +7,14 @@
 	renderError,
 } from '../../src/errors/index.ts';
 
-test('every kind has an answer with an error status', () => {
+test('every error kind maps to an HTTP error status', () => {
 	for (const kind of errorKinds) {
 		const {status} = answerTable[kind];
 		assert.ok(status >= 400 && status < 600, kind);
 	}
 });
 
-test('an answer carries kind, outcome, request id and when to come back', () => {
+test('a rendered error contains its kind, outcome, request id and retry time', () => {
 	const rendered = renderError(
 		createGatewayError('overloaded', 'full', {retryAfterSeconds: 1.2}),
 		'id',
@@ -28,7 +28,7 @@
 	assert.equal(error.requestId, 'id');
 });
 
-test('a library is told to try again only where nothing ran', () => {
+test('x-should-retry is false if the outcome is unknown', () => {
 	for (const kind of errorKinds) {
 		const {headers} = renderError(
 			createGatewayError(kind, '', {outcome: 'unknown', retryAfterSeconds: 1}),
