--- a/src/callers/caller-controller.ts
+++ b/src/callers/caller-controller.ts
@@ -2,7 +2,7 @@
 import type {FastifyReply, FastifyRequest} from 'fastify';
 import type {GatewayNode} from '../node/index.ts';
 import {writeAnswer} from './write-answer.ts';
-import {toIncoming} from './to-incoming.ts';
+import {toIncomingRequest} from './to-incoming-request.ts';
 
 /**
 Injection token of the node.
@@ -10,7 +10,7 @@
 export const nodeToken = Symbol('node');
 
 /**
-Answers callers: requests of every kind, the models, and which entry VMs to use.
+Routes of the caller API: requests to services, the list of models and the list of entry VMs.
 */
 @Controller()
 export class CallerController {
@@ -21,7 +21,7 @@
 	}
 
 	/**
-	Whether this node takes requests, for simple checks from outside.
+	Returns whether the node is live or leaving, for external health checks.
 	*/
 	@Get('healthz')
 	health() {
@@ -29,7 +29,7 @@
 	}
 
 	/**
-	Which entry VMs to use, best first, and a fresh request id.
+	Returns the entry VMs in order of preference and a new request id.
 	*/
 	@Get('v1/entry-vms')
 	entryVms() {
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	The models on offer, in the form that OpenAI clients read.
+	Returns the available models in the format that OpenAI clients expect.
 	*/
 	@Get('v1/models')
 	models() {
@@ -56,11 +56,11 @@
 	}
 
 	/**
-	Everything else goes through the filter chain.
+	Passes all other requests through the filter chain.
 	*/
 	@All('*')
 	async request(@Req() request: FastifyRequest, @Res() reply: FastifyReply) {
-		const incoming = toIncoming(request, reply);
+		const incoming = toIncomingRequest(request, reply);
 		const answer = await this.#node.chain.answer(incoming);
 		await writeAnswer(reply, answer, this.#node.isLeaving());
 	}
--- a/src/callers/discard-remaining-body.ts
+++ b/src/callers/discard-remaining-body.ts
@@ -1,16 +1,16 @@
 import type {Readable} from 'node:stream';
 
 /**
-How long the rest of a refused request is read at most, in milliseconds: a body of the size that is
-taken, over a slow link.
+Maximum time for reading the remaining body of a rejected request, in milliseconds. It suffices for a body of the
+maximum size over a slow link.
 */
-export const discardMs = 1000;
+export const discardTimeoutMs = 1000;
 
 /**
-Reads on what a sender still sends, for nothing; resolves when it has ended, or after `discardMs`.
+Reads and discards the remaining body of a request. It resolves when the body has ended or after `discardTimeoutMs`.
 
-A connection that is closed while the sender still writes is reset, and the sender may never see why it
-was refused.
+Closing a connection while the sender is still writing resets it, and the sender may not receive the error
+response.
 */
 export const discardRemainingBody = async (request: Readable): Promise<void> =>
 	new Promise((resolve) => {
@@ -19,7 +19,7 @@
 			resolve();
 		};
 
-		const timer = setTimeout(finish, discardMs);
+		const timer = setTimeout(finish, discardTimeoutMs);
 		for (const event of ['end', 'close', 'error']) {
 			request.once(event, finish);
 		}
--- a/src/callers/start-caller-server.ts
+++ b/src/callers/start-caller-server.ts
@@ -20,20 +20,20 @@
 import {writeError} from './write-answer.ts';
 
 /**
-The listener for callers.
+HTTP server that receives the requests of callers.
 */
 export type CallerServer = {close(): Promise<void>};
 
 /**
-The longest request head, in bytes.
+Maximum size of a request head, in bytes.
 */
 export const maximumHeaderBytes = 16_384;
 
-// The listener's library refuses such a body by its stated length, before it is read.
-const bodyTooLarge = 'FST_ERR_CTP_BODY_TOO_LARGE';
+// Fastify reports this code if the Content-Length exceeds the limit, before it reads the body.
+const bodyTooLargeCode = 'FST_ERR_CTP_BODY_TOO_LARGE';
 
 /**
-Starts the listener for callers.
+Starts the HTTP server for callers.
 */
 export const startCallerServer = async (
 	node: GatewayNode,
@@ -48,7 +48,7 @@
 		bodyLimit: node.settings.maximumBodyBytes,
 		http: {maxHeaderSize: maximumHeaderBytes},
 		keepAliveTimeout: 65_000,
-		clientErrorHandler: answerUnreadable,
+		clientErrorHandler: handleParseError,
 	});
 	const app = await NestFactory.create<NestFastifyApplication>(
 		CallerModule,
@@ -71,9 +71,9 @@
 	instance.setErrorHandler(async (error: FastifyError, request, reply) => {
 		node.logger.warn(
 			{code: error.code, message: error.message},
-			'request could not be taken',
+			'request could not be processed',
 		);
-		if (error.code === bodyTooLarge) {
+		if (error.code === bodyTooLargeCode) {
 			await discardRemainingBody(request.raw);
 		}
 
@@ -84,8 +84,8 @@
 	return {close: async () => app.close()};
 };
 
-// A head that cannot be read never becomes a request, so its answer is written to the socket.
-const answerUnreadable = (
+// A request head that cannot be parsed never becomes a request object, so the response is written to the socket directly.
+const handleParseError = (
 	error: NodeJS.ErrnoException,
 	socket: Socket,
 ): void => {
@@ -119,7 +119,7 @@
 
 const toGatewayError = (error: FastifyError): GatewayError => {
 	switch (error.code) {
-		case bodyTooLarge: {
+		case bodyTooLargeCode: {
 			return createGatewayError(
 				'body-too-large',
 				'The body is longer than this node takes',
--- a/src/callers/to-incoming.ts
+++ b/src/callers/to-incoming-request.ts
@@ -3,16 +3,16 @@
 import type {IncomingRequest} from '../requests/index.ts';
 
 /**
-Reads an HTTP request; its signal aborts when the caller hangs up before the answer has ended.
+Converts an HTTP request. Its signal aborts if the caller closes the connection before the response is complete.
 */
-export const toIncoming = (
+export const toIncomingRequest = (
 	request: FastifyRequest,
 	reply: FastifyReply,
 ): IncomingRequest => {
-	const abort = new AbortController();
+	const abortController = new AbortController();
 	reply.raw.once('close', () => {
 		if (!reply.raw.writableFinished) {
-			abort.abort();
+			abortController.abort();
 		}
 	});
 	return {
@@ -20,6 +20,6 @@
 		url: request.url,
 		headers: request.headers,
 		body: Buffer.isBuffer(request.body) ? request.body : Buffer.alloc(0),
-		signal: abort.signal,
+		signal: abortController.signal,
 	};
 };
--- a/src/callers/write-answer.ts
+++ b/src/callers/write-answer.ts
@@ -13,8 +13,8 @@
  Writes an answer to the caller.
  @param reply
  @param answer
- @param isLeaving whether the connection is to be closed after the answer, so that the
- caller opens its next one to another entry VM.
+ @param isLeaving whether to close the connection after the answer, so that the
+ caller connects to another entry VM next.
  */
 export const writeAnswer = async (
 	reply: FastifyReply,
@@ -48,7 +48,7 @@
 			const isEventStream =
 				answer.headers['content-type']?.startsWith('text/event-stream') ??
 				false;
-			await writePieces(reply.raw, answer.pieces, isEventStream);
+			await writeStream(reply.raw, answer.pieces, isEventStream);
 		}
 	}
 };
@@ -68,7 +68,7 @@
 		.send(rendered.body);
 };
 
-const writePieces = async (
+const writeStream = async (
 	response: ServerResponse,
 	pieces: AsyncGenerator<string, StreamEnd, void>,
 	isEventStream: boolean,
@@ -76,7 +76,7 @@
 	for (;;) {
 		const next = await pieces.next();
 		if (next.done) {
-			finish(response, next.value, isEventStream);
+			endStream(response, next.value, isEventStream);
 			return;
 		}
 
@@ -86,24 +86,24 @@
 		}
 
 		if (!response.write(next.value)) {
-			await drained(response);
+			await waitForDrain(response);
 		}
 	}
 };
 
-const drained = async (response: ServerResponse): Promise<void> => {
-	const abort = new AbortController();
-	const options = {signal: abort.signal};
+const waitForDrain = async (response: ServerResponse): Promise<void> => {
+	const abortController = new AbortController();
+	const options = {signal: abortController.signal};
 	await Promise.race([
 		once(response, 'drain', options),
 		once(response, 'close', options),
 	]).catch(() => undefined);
-	abort.abort();
+	abortController.abort();
 };
 
-// A stream that did not end must not look as if it had: the caller gets an explicit error
-// event, or, where the form of the answer has no room for one, a connection that breaks.
-const finish = (
+// An incomplete stream must not appear complete: the caller receives an error event or, if the
+// response is not an event stream, a broken connection.
+const endStream = (
 	response: ServerResponse,
 	end: StreamEnd,
 	isEventStream: boolean,
--- a/tests/callers/discard-remaining-body.test.ts
+++ b/tests/callers/discard-remaining-body.test.ts
@@ -2,14 +2,14 @@
 import {setImmediate} from 'node:timers/promises';
 import {test, type TestContext} from 'node:test';
 import {
-	discardMs,
+	discardTimeoutMs,
 	discardRemainingBody,
 } from '../../src/callers/discard-remaining-body.ts';
 
-test('the rest is read until it ends', async (t: TestContext) => {
+test('the remaining body is read until it ends', async (t: TestContext) => {
 	const request = new PassThrough();
 	let isOver = false;
-	const rest = (async () => {
+	const discarding = (async () => {
 		await discardRemainingBody(request);
 		isOver = true;
 	})();
@@ -17,19 +17,19 @@
 	await setImmediate();
 	t.assert.strictEqual(isOver, false);
 	request.end();
-	await rest;
+	await discarding;
 	t.assert.strictEqual(request.readableLength, 0);
 });
 
-test('a sender that breaks off or never ends is not waited for', async (t: TestContext) => {
+test('the wait ends when the sender disconnects and when the time limit expires', async (t: TestContext) => {
 	t.mock.timers.enable({apis: ['setTimeout']});
 	const broken = new PassThrough();
-	const rest = discardRemainingBody(broken);
+	const discarding = discardRemainingBody(broken);
 	broken.destroy(new Error('reset'));
-	await rest;
+	await discarding;
 
 	const endless = discardRemainingBody(new PassThrough());
-	t.mock.timers.tick(discardMs);
+	t.mock.timers.tick(discardTimeoutMs);
 	await endless;
 	t.assert.strictEqual(broken.destroyed, true);
 });
