--- a/src/administration/administration-controller.ts
+++ b/src/administration/administration-controller.ts
@@ -10,12 +10,12 @@
 export const nodeToken = Symbol('node');
 
 /**
-Injection token of the function that begins a planned stop.
+Injection token of the function that starts draining the node.
 */
 export const drainToken = Symbol('drain');
 
 /**
-Answers operators; everything but `drain` only reads.
+Routes of the administration API; all except `drain` are read-only.
 */
 @Controller()
 export class AdministrationController {
@@ -31,7 +31,7 @@
 	}
 
 	/**
-	Whether the process runs.
+	Liveness check.
 	*/
 	@Get('health')
 	health() {
@@ -39,7 +39,7 @@
 	}
 
 	/**
-	Whether the node takes requests, and why not.
+	Returns whether the node is ready to receive requests and, if it is not, the reason.
 	*/
 	@Get('ready')
 	async ready() {
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	The other nodes as this one sees them.
+	Returns this node and the other members that it knows.
 	*/
 	@Get('members')
 	members() {
@@ -62,7 +62,7 @@
 	}
 
 	/**
-	The configuration in force and what was refused.
+	Returns the active configuration and the rejected ones.
 	*/
 	@Get('configuration')
 	configuration() {
@@ -76,7 +76,7 @@
 	}
 
 	/**
-	The backend servers of this node's zone with their load.
+	Returns the backend servers of this node's zone with their load.
 	*/
 	@Get('backend-servers')
 	backendServers() {
@@ -84,7 +84,7 @@
 	}
 
 	/**
-	The policies in force.
+	Returns the active policies.
 	*/
 	@Get('policies')
 	policies() {
@@ -95,7 +95,7 @@
 	}
 
 	/**
-	Which policy, regions and backend servers a request with these labels would get.
+	Explains which policy, regions and backend servers apply to a request with the given properties.
 	*/
 	@Get('explain')
 	explain(@Query() query: Readonly<Record<string, string | undefined>>) {
@@ -107,7 +107,7 @@
 	}
 
 	/**
-	Cost, latency, away share and burn; with `scope=all` of every node that answers.
+	Returns cost, latency, share of requests served away from their home region, and burn rates; with `scope=all`, those of every node that responds.
 	*/
 	@Get('report')
 	async report(@Query('scope') scope: string | undefined) {
@@ -117,7 +117,7 @@
 	}
 
 	/**
-	Messages, bytes, memory and processor time spent so far.
+	Returns the messages, bytes and processor time used so far and the current memory usage.
 	*/
 	@Get('usage')
 	usage() {
@@ -132,7 +132,7 @@
 	}
 
 	/**
-	Begins a planned stop: no request in flight is interrupted.
+	Starts draining the node. Requests in flight are not interrupted.
 	*/
 	@Post('drain')
 	@HttpCode(202)
--- a/src/administration/explain.ts
+++ b/src/administration/explain.ts
@@ -14,7 +14,7 @@
 } from '../routing/index.ts';
 
 /**
-What a question about a request states; all parts may be left out.
+Properties of the request to explain; all are optional.
 */
 export type ExplainQuery = {
 	readonly labels?: string;
@@ -24,13 +24,13 @@
 	readonly model?: string;
 	readonly residency?: string;
 	/**
-	Milliseconds since the epoch; now, where left out.
+	Time of the request, in milliseconds since the Unix epoch; defaults to the current time.
 	*/
 	readonly at?: string;
 };
 
 /**
-Why a request would be served where it would be.
+Explains where a request would be served and why.
 */
 export type Explanation =
 	| {readonly kind: 'fault'; readonly fault: string}
@@ -44,18 +44,18 @@
 			readonly regions: readonly CandidateVerdict[];
 			readonly backendServers: readonly CandidateVerdict[];
 			/**
-			Load and health, from a running node only.
+			Load and health of the backend servers; undefined without a running node.
 			*/
 			readonly live: readonly BackendServerState[] | undefined;
 	  };
 
 /**
-The live state that an explanation can draw on.
+Live state of a running node, included in explanations.
 */
 export type LiveState = {readonly fleet: Fleet; readonly clock: () => number};
 
 /**
-Explains which policy applies to a request and what it leaves.
+Explains which policy applies to a request and which regions and backend servers it allows.
 */
 export const explainRequest = (
 	configuration: Configuration | undefined,
@@ -147,14 +147,14 @@
 	);
 };
 
-// The first that matches is the one in force; the others behind it are not even tried.
+// Only the first matching policy applies; later policies are not evaluated.
 const describeVerdicts = (
 	verdicts: readonly PolicyVerdict[],
-	chosen: Policy | undefined,
+	matched: Policy | undefined,
 ) => {
-	const position = verdicts.findIndex(({policy}) => policy === chosen);
+	const position = verdicts.findIndex(({policy}) => policy === matched);
 	return verdicts.map(({policy, verdict}, index) => ({
 		name: policy.name,
-		verdict: chosen && index > position ? ('not-tried' as const) : verdict,
+		verdict: matched && index > position ? ('not-tried' as const) : verdict,
 	}));
 };
--- a/src/administration/gather-reports.ts
+++ b/src/administration/gather-reports.ts
@@ -2,7 +2,7 @@
 import type {NodeReport} from '../reporting/index.ts';
 
 /**
-The reports of all nodes that answered, and the names of those that did not.
+Reports of the nodes that responded and ids of the nodes that did not.
 */
 export type GatheredReports = {
 	readonly reports: readonly NodeReport[];
@@ -10,7 +10,7 @@
 };
 
 /**
-Asks every known node for its report.
+Requests the report of every known node.
 */
 export const gatherReports = async (
 	node: GatewayNode,
--- a/src/administration/start-administration-server.ts
+++ b/src/administration/start-administration-server.ts
@@ -14,12 +14,12 @@
 } from './administration-controller.ts';
 
 /**
-The listener for operators.
+HTTP server of the administration API.
 */
 export type AdministrationServer = {close(): Promise<void>};
 
 /**
-Starts the listener for operators; every call needs the administration key.
+Starts the HTTP server of the administration API. Every call requires the administration key.
 */
 export const startAdministrationServer = async (
 	node: GatewayNode,
@@ -42,13 +42,13 @@
 			logger: false,
 		},
 	);
-	const expected = sha256(node.settings.administrationKey);
+	const expectedDigest = sha256(node.settings.administrationKey);
 	adapter.getInstance().addHook('onRequest', async (request, reply) => {
-		const given = (request.headers.authorization ?? '').replace(
+		const presentedKey = (request.headers.authorization ?? '').replace(
 			/^bearer /iv,
 			'',
 		);
-		if (!isEqualInConstantTime(sha256(given), expected)) {
+		if (!isEqualInConstantTime(sha256(presentedKey), expectedDigest)) {
 			await reply.code(401).send({
 				fault: 'Send the administration key: "Authorization: Bearer KEY"',
 			});
--- a/tests/administration/explain.test.ts
+++ b/tests/administration/explain.test.ts
@@ -5,7 +5,7 @@
 
 const configuration = exampleConfiguration();
 
-test('an explanation tells the policy and what rules out the rest', () => {
+test('an explanation names the matching policy and the reason why each other candidate is excluded', () => {
 	const explanation = explainRequest(configuration, {
 		model: 'scribe-8b',
 		labels: 'weight=heavy',
@@ -24,7 +24,7 @@
 	assert.equal(verdictOf('docket-desk-1'), 'other-service');
 });
 
-test('what cannot be explained says why', () => {
+test('a query that cannot be explained returns a fault', () => {
 	assert.equal(explainRequest(undefined, {}).kind, 'fault');
 	assert.equal(explainRequest(configuration, {client: 'nobody'}).kind, 'fault');
 	assert.equal(explainRequest(configuration, {model: 'nothing'}).kind, 'fault');
