--- a/src/reporting/burn.ts
+++ b/src/reporting/burn.ts
@@ -2,12 +2,12 @@
 import {isSelected, type Labels} from '../policies/index.ts';
 
 /**
-One finished request, as objectives see it.
+Properties of a finished request that objectives are evaluated on.
 */
 export type ObjectiveSample = {
 	readonly labels: Labels;
 	/**
-	Whether the caller got a complete answer.
+	Whether the caller received a complete response.
 	*/
 	readonly isAnswered: boolean;
 	readonly firstTokenMs: number | undefined;
@@ -15,13 +15,13 @@
 };
 
 /**
-How fast one objective's error budget is being used up.
+Burn rate of one objective's error budget.
 */
 export type BurnReport = {
 	readonly objective: string;
 	readonly target: number;
 	/**
-	Burn over each window; 1 uses up the budget exactly by the end of its period.
+	Burn rate over each window. A rate of 1 uses up the budget exactly at the end of its period.
 	*/
 	readonly windows: ReadonlyArray<{
 		readonly minutes: number;
@@ -32,7 +32,7 @@
 };
 
 /**
-Follows error budgets over several windows.
+Tracks error budgets over several windows.
 */
 export type BurnTracker = {
 	record(objectives: readonly Objective[], sample: ObjectiveSample): void;
@@ -40,17 +40,17 @@
 };
 
 /**
-Windows over which burn is worked out, in minutes.
+Windows over which the burn rate is computed, in minutes.
 */
 export const burnWindowMinutes = [5, 60, 360] as const;
 
 /**
-Burn at which a short and a middle window together mean a fast burn.
+Burn rate that the short and the middle window must both reach for a fast burn.
 */
 export const fastBurnRate = 14;
 
 /**
-Burn at which the long window means a slow burn.
+Burn rate that the middle and the long window must both reach for a slow burn.
 */
 export const slowBurnRate = 3;
 
@@ -59,7 +59,7 @@
 const millisecondsPerMinute = 60_000;
 
 /**
-Builds a tracker that keeps one small bucket for each objective and minute.
+Creates a tracker that keeps one bucket per objective and minute.
 */
 export const createBurnTracker = (): BurnTracker => {
 	const buckets = new Map<string, Bucket[]>();
--- a/src/reporting/compare-policies.ts
+++ b/src/reporting/compare-policies.ts
@@ -3,7 +3,7 @@
 import type {NodeReport, ReportRow} from './recorder.ts';
 
 /**
-Figures of one policy over all nodes that reported.
+Statistics of one policy over all nodes that reported.
 */
 export type PolicyFigures = {
 	readonly policy: string;
@@ -11,7 +11,7 @@
 	readonly answeredShare: number;
 	readonly awayShare: number;
 	/**
-	Cost of a thousand tokens.
+	Cost per thousand tokens.
 	*/
 	readonly costPerThousandTokens: number;
 	readonly firstToken: Percentiles;
@@ -20,22 +20,22 @@
 };
 
 /**
-A difference between two policies, with how sure it is.
+A difference between two policies, with its confidence.
 */
 export type Difference = {
 	readonly measure: 'answered share' | 'away share' | 'mean first token (ms)';
 	/**
-	Second policy less first.
+	Value of the second policy minus value of the first.
 	*/
 	readonly difference: number;
 	/**
-	From 0 to 1: how unlikely chance alone makes a difference of this size.
+	Confidence from 0 to 1 that the difference is not due to chance.
 	*/
 	readonly confidence: number;
 };
 
 /**
-Two policies side by side.
+Comparison of two policies.
 */
 export type PolicyComparison = {
 	readonly first: PolicyFigures;
@@ -44,7 +44,7 @@
 };
 
 /**
-Sums up one policy over the reports of several nodes.
+Aggregates the statistics of one policy over the reports of several nodes.
 */
 export const figuresOf = (
 	reports: readonly NodeReport[],
@@ -72,7 +72,7 @@
 };
 
 /**
-Compares two policies that ran side by side on slices of the same traffic.
+Compares two policies that ran concurrently on slices of the same traffic.
 */
 export const comparePolicies = (
 	reports: readonly NodeReport[],
@@ -119,7 +119,7 @@
 	return sums;
 };
 
-// Two-sided, by the normal distribution: fair from some dozens of requests on.
+// Two-sided, using the normal distribution, which is a good approximation from a few dozen requests.
 const confidenceOf = (difference: number, standardError: number): number =>
 	standardError === 0
 		? 0
--- a/src/reporting/histogram.ts
+++ b/src/reporting/histogram.ts
@@ -25,12 +25,12 @@
 */
 export type DurationHistogram = {
 	/**
-	Takes in a duration in milliseconds; fractions are kept to a tenth.
+	Records a duration in milliseconds with a resolution of a tenth of a millisecond.
 	*/
 	record(milliseconds: number, count?: number): void;
 	percentiles(): Percentiles;
 	/**
-	The whole histogram as text, to be merged with those of other nodes.
+	Encodes the histogram as text, so that it can be merged with those of other nodes.
 	*/
 	encode(): string;
 };
@@ -63,7 +63,7 @@
 };
 
 /**
-Builds an empty histogram.
+Creates an empty histogram.
 */
 export const createDurationHistogram = (): DurationHistogram => {
 	const histogram = buildEmpty();
@@ -82,7 +82,7 @@
 };
 
 /**
-Percentiles over histograms of several nodes, as if one had recorded it all.
+Merges the encoded histograms of several nodes and returns the percentiles over all recorded durations.
 */
 export const mergeHistograms = (
 	encoded: ReadonlyArray<string | undefined>,
--- a/src/reporting/metrics.ts
+++ b/src/reporting/metrics.ts
@@ -12,7 +12,7 @@
 };
 
 /**
-Builds metrics; without an address nothing is sent.
+Creates a metrics client. Without an address, it sends nothing.
 */
 export const createMetrics = (
 	address: Address | undefined,
@@ -25,7 +25,7 @@
 		prefix: 'quillford.',
 		globalTags: {node},
 		mock: target === undefined,
-		// A lost metric is no reason to disturb a request.
+		// Errors are ignored so that a lost metric does not affect a request.
 		errorHandler: () => undefined,
 	});
 	return {
--- a/src/reporting/recorder.ts
+++ b/src/reporting/recorder.ts
@@ -17,13 +17,13 @@
 	readonly labels: Labels;
 	readonly homeRegion: string;
 	/**
-	Undefined where no backend server served it.
+	Region that served the request; undefined if no backend server did.
 	*/
 	readonly servedRegion: string | undefined;
 	readonly result: 'answered' | ErrorKind;
 	readonly firstTokenMs: number | undefined;
 	/**
-	Mean milliseconds between tokens.
+	Mean time between tokens, in milliseconds.
 	*/
 	readonly interTokenMs: number | undefined;
 	readonly totalMs: number;
@@ -33,7 +33,7 @@
 };
 
 /**
-Figures of one policy, client or region.
+Statistics of one policy, client or region.
 */
 export type ReportRow = {
 	readonly dimension: 'policy' | 'client' | 'region';
@@ -49,14 +49,14 @@
 	readonly errors: Readonly<Record<string, number>>;
 
 	/**
-	Whole histograms, for policies only: those are compared over all nodes.
+	Encoded histograms; only set for policies, which are compared over all nodes.
 	*/
 	readonly firstTokenHistogram: string | undefined;
 	readonly interTokenHistogram: string | undefined;
 };
 
 /**
-What one node reports.
+Report of one node.
 */
 export type NodeReport = {
 	readonly node: string;
@@ -65,7 +65,7 @@
 };
 
 /**
-Collects what the users measure.
+Collects request statistics for reports.
 */
 export type Recorder = {
 	record(record: RequestRecord, objectives: readonly Objective[]): void;
@@ -85,7 +85,7 @@
 };
 
 /**
-Builds an empty recorder.
+Creates an empty recorder.
 */
 export const createRecorder = (node: string): Recorder => {
 	const rows = new Map<string, Row>();
--- a/tests/reporting/reporting.test.ts
+++ b/tests/reporting/reporting.test.ts
@@ -61,7 +61,7 @@
 	assert.ok(Math.abs(burn[0]!.windows[0]!.burn - 100 / 3) < 0.01);
 });
 
-test('burn is fast when short and middle windows both burn, and old minutes drop out', () => {
+test('a fast burn requires high burn rates in the short and middle windows, and old minutes expire', () => {
 	const tracker = createBurnTracker();
 	const minute = 60_000;
 	for (let at = 0; at < 60; at += 1) {
@@ -82,7 +82,7 @@
 	assert.equal(later.windows[0]!.requests, 0);
 });
 
-test('a first-token objective counts answers that begin too late as bad', () => {
+test('a first-token objective counts responses whose first token is late as bad', () => {
 	const tracker = createBurnTracker();
 	const late: Objective = {
 		name: 'first',
@@ -108,7 +108,7 @@
 	);
 });
 
-test('percentiles are kept to within one in a hundred', () => {
+test('percentiles are accurate to about one percent', () => {
 	const histogram = createDurationHistogram();
 	for (let value = 1; value <= 1000; value += 1) {
 		histogram.record(value);
@@ -120,7 +120,7 @@
 	assert.ok(Math.abs(p99 - 990) <= 10, String(p99));
 });
 
-test('two policies are compared over all nodes, with how sure the difference is', () => {
+test('two policies are compared over all nodes, with the confidence of each difference', () => {
 	const nodes = ['a', 'b'].map((name) => createRecorder(name));
 	for (let index = 0; index < 400; index += 1) {
 		const node = nodes[index % 2]!;
@@ -149,7 +149,7 @@
 	);
 	const mean = differences.find(({measure}) => measure.startsWith('mean'))!;
 	assert.ok(Math.abs(mean.difference + 100) < 2);
-	// The table behind it ends at 0.998.
+	// The normal distribution table of simple-statistics ends at 0.998.
 	assert.ok(mean.confidence > 0.99);
 	const answered = differences.find(
 		({measure}) => measure === 'answered share',
@@ -157,7 +157,7 @@
 	assert.equal(answered.confidence, 0);
 });
 
-test('a policy that no node knows has no figures', () => {
+test('a policy that no node knows has empty statistics', () => {
 	const {first} = comparePolicies(
 		[createRecorder('a').report([], 0)],
 		['x', 'y'],
