--- a/src/controllers/controller-host.ts
+++ b/src/controllers/controller-host.ts
@@ -9,25 +9,25 @@
 	start(): Promise<void>;
 	stop(): Promise<void>;
 	/**
-	 Checks for a pause of the process and, if there was one, tells the controllers.
-	 Called by the timer and before each request, because after a pause a request can
+	 Checks whether the process was paused and, if so, notifies the controllers.
+	 It is called by the timer and before each request, because after a pause a request can
 	 be read before the timer fires.
 	 */
 	checkPause(): void;
 };
 
 /**
-Milliseconds between two ticks.
+Interval between two ticks, in milliseconds.
 */
-export const tickInterval = 100;
+export const tickIntervalMs = 100;
 
 /**
-A gap between two ticks of at least this many milliseconds counts as a pause.
+Minimum gap between two ticks that counts as a pause of the process, in milliseconds.
 */
-export const pauseThreshold = 1500;
+export const pauseThresholdMs = 1500;
 
 /**
-Builds a host without controllers.
+Creates a host without controllers.
 */
 export const createControllerHost = (
 	clock: () => number,
@@ -37,10 +37,10 @@
 	let timer: NodeJS.Timeout | undefined;
 	let lastTick = clock();
 
-	const wake = (now: number, pausedMs: number) => {
+	const notifyResumed = (now: number, pausedMs: number) => {
 		logger.warn(
 			{pausedMs},
-			'the process was paused; everything known is taken as old',
+			'process was paused; all known state is treated as stale',
 		);
 		for (const controller of controllers) {
 			controller.woken?.(now, pausedMs);
@@ -50,12 +50,12 @@
 	const checkPause = () => {
 		const now = clock();
 		const gap = now - lastTick;
-		if (!(timer && gap >= pauseThreshold)) {
+		if (!(timer && gap >= pauseThresholdMs)) {
 			return;
 		}
 
 		lastTick = now;
-		wake(now, gap);
+		notifyResumed(now, gap);
 	};
 
 	const tick = () => {
@@ -73,12 +73,12 @@
 		},
 		async start() {
 			for (const controller of controllers) {
-				// One after another: a later controller may rely on an earlier one.
+				// Started sequentially, because a controller may depend on an earlier one.
 				await controller.start?.();
 			}
 
 			lastTick = clock();
-			timer = setInterval(tick, tickInterval);
+			timer = setInterval(tick, tickIntervalMs);
 		},
 		async stop() {
 			clearInterval(timer);
--- a/src/controllers/controller.ts
+++ b/src/controllers/controller.ts
@@ -1,21 +1,21 @@
 /**
- A part of a node that holds state.
- 
+ A stateful component of a node.
+
  The host calls the hooks of all controllers in the order in which they were added,
- and `stop` in the reverse order; every hook may be left out.
+ and `stop` in reverse order. All hooks are optional.
  */
 export type Controller = {
 	readonly name: string;
 	/**
-	Called once, before the node serves.
+	Called once, before the node receives requests.
 	*/
 	start?(): Promise<void>;
 	/**
-	Called about ten times a second.
+	Called about ten times per second.
 	*/
 	tick?(now: number): void;
 	/**
-	Called in place of the tick after the process was paused; what is known is old.
+	Called after the process was paused, because all known state may be stale.
 	*/
 	woken?(now: number, pausedMs: number): void;
 	/**
