--- a/src/logging/enable-roarr.ts
+++ b/src/logging/enable-roarr.ts
@@ -1,4 +1,4 @@
 import process from 'node:process';
 
-// Roarr decides when it is loaded whether it logs at all, so this module is imported before it.
+// Roarr reads this variable when it is loaded, so this module must be imported before it.
 process.env.ROARR_LOG = 'true';
--- a/src/logging/logger.ts
+++ b/src/logging/logger.ts
@@ -5,7 +5,7 @@
 import {logLevels, ROARR, Roarr} from 'roarr';
 
 /**
-How much is logged.
+Log levels, from the most to the least verbose.
 */
 export const logLevelNames = [
 	'debug',
@@ -21,7 +21,7 @@
 export type LogLevel = (typeof logLevelNames)[number];
 
 /**
-Structured facts of one log line.
+Structured fields of a log line.
 */
 export type LogContext = Readonly<
 	Record<string, string | number | boolean | undefined>
@@ -43,25 +43,25 @@
 	level === 'silent' ? silent : logLevels[level];
 
 /**
-Where log lines go.
+Destination of log lines.
 */
 export type LogOutput = 'standard-error' | 'standard-output';
 
 /**
-Bytes that wait to be written at the most; lines beyond are dropped and counted, for a reader that
-does not keep up must not hold the process up.
+Maximum number of bytes that wait to be written. Further lines are dropped and counted, because a slow reader must
+not block the process.
 */
 export const maximumLogBacklogBytes = 262_144;
 
 let dropped = 0;
 
 /**
-Log lines dropped since the start because their reader did not keep up.
+Returns the number of log lines dropped since the start because the reader was too slow.
 */
 export const droppedLogLines = (): number => dropped;
 
 /**
-Directs all log lines to an output, one JSON object a line, from a level upwards.
+Writes all log lines of at least a level to an output, as one JSON object per line.
 */
 export const startLogging = (
 	level: LogLevel,
@@ -69,7 +69,7 @@
 ): void => {
 	const lowest = threshold(level);
 	const write =
-		output === 'standard-error' ? writeAtOnce : createBoundedWriter();
+		output === 'standard-error' ? writeToStandardError : createBoundedWriter();
 	ROARR.write = (line) => {
 		if (levelOf(line) >= lowest) {
 			write(`${line}\n`);
@@ -77,14 +77,14 @@
 	};
 };
 
-const writeAtOnce = (line: string) => {
+const writeToStandardError = (line: string) => {
 	process.stderr.write(line);
 };
 
 const standardOutput = 1;
 
-// Writing to a pipe by way of `process.stdout` blocks while the pipe is full; a file stream on the
-// same descriptor does not.
+// Writing to a pipe through `process.stdout` blocks while the pipe is full. A file stream on the same descriptor
+// does not block.
 const createBoundedWriter = (): ((line: string) => void) => {
 	const stream = createWriteStream('', {
 		fd: standardOutput,
@@ -101,17 +101,17 @@
 	};
 };
 
-// Hoisted: the bundler does not share literals between calls.
+// Defined outside the function because the bundler does not share regular expression literals between calls.
 const levelField = /"logLevel":(?<level>\d+)/v;
 
-// Reading the one number is much cheaper than parsing the whole line.
+// Extracting the level is much cheaper than parsing the whole line.
 const levelOf = (line: string): number => {
 	const match = levelField.exec(line);
 	return match?.groups ? Number(match.groups.level) : silent;
 };
 
 /**
-Builds a logger for one part of the system.
+Creates a logger for one part of the system.
 */
 export const createLogger = (
 	part: string,
@@ -119,17 +119,17 @@
 ): Logger => {
 	const roarr = Roarr.child({part, ...context});
 	return {
-		debug(facts, message) {
-			roarr.debug(facts, message);
+		debug(fields, message) {
+			roarr.debug(fields, message);
 		},
-		info(facts, message) {
-			roarr.info(facts, message);
+		info(fields, message) {
+			roarr.info(fields, message);
 		},
-		warn(facts, message) {
-			roarr.warn(facts, message);
+		warn(fields, message) {
+			roarr.warn(fields, message);
 		},
-		error(facts, message) {
-			roarr.error(facts, message);
+		error(fields, message) {
+			roarr.error(fields, message);
 		},
 	};
 };
