--- a/src/mechanisms/mechanisms.ts
+++ b/src/mechanisms/mechanisms.ts
@@ -1,104 +1,103 @@
 import {Result} from 'true-myth';
 
 /**
-Parts of what a gateway decides by that can be switched off, one by one, to see what each is worth. All are
-on unless a node is told otherwise.
+Mechanisms of the gateway that can be disabled individually to measure their effect. All are enabled by default.
 */
 export const mechanisms = [
 	/**
-	Long prompts go to the region of the server that keeps them, or of their hash.
+	Sends long prompts to the region of the server that has them cached, or to the region that their hash selects.
 	*/
 	'prompt-homes',
 	/**
-	Long prompts for one server go by way of one node of its region.
+	Sends long prompts for one server through one node of its region.
 	*/
 	'prompt-nodes',
 	/**
-	Engines are asked what they keep.
+	Queries engines for their cache contents.
 	*/
 	'cache-events',
 	/**
-	A node that has just started asks the engines of its zone itself.
+	Lets a node that has just started query the engines of its zone directly.
 	*/
 	'early-cache-events',
 	/**
-	Reading a prompt part again counts against a server.
+	Includes the cost of recomputing a prompt part in the score of a server.
 	*/
 	'reread-cost',
 	/**
-	Tokens that are still to be read count against a server.
+	Includes the prefill backlog, in tokens, in the score of a server.
 	*/
 	'reading-cost',
 	/**
-	Nodes of a region tell each other what engines have still to read.
+	Shares the prefill backlogs of engines between the nodes of a region.
 	*/
 	'told-reading',
 	/**
-	A prompt part is read by another engine where those that keep it are not likely to answer in time.
+	Lets another engine compute a prompt part if the engines that have it cached are unlikely to respond in time.
 	*/
 	'prompt-copies',
 	/**
-	What servers state of their load counts.
+	Uses the load that servers report.
 	*/
 	'stated-load',
 	/**
-	What other nodes hold at a server is guessed from this node's mean over all of them.
+	Estimates the load that other nodes place on a server from this node's mean over all servers.
 	*/
 	'smoothed-load',
 	/**
-	The pace of a server's streams, and the silence that it keeps, count against it.
+	Includes the pace and the silence of a server's streams in its score.
 	*/
 	'pace',
 	/**
-	Failures count against a server.
+	Includes failures in the score of a server.
 	*/
 	'failure-cost',
 	/**
-	Servers that owe answers in silence are doubted and left.
+	Suspects and avoids servers that stop responding while responses are outstanding.
 	*/
 	'silence',
 	/**
-	Servers are told how urgent a request is.
+	Sends the priority of a request to the server.
 	*/
 	'urgency',
 	/**
-	Requests go to another region when the own one is full.
+	Sends requests to another region if the local region is full.
 	*/
 	'overflow',
 	/**
-	Requests wait for room before they are refused.
+	Queues requests until capacity is available before rejecting them.
 	*/
 	'waiting',
 	/**
-	Requests that come before the first routes wait for them.
+	Holds requests that arrive before the first routes are available.
 	*/
 	'early-requests',
 	/**
-	Faults are retried only where retries help.
+	Retries failures only if retries help.
 	*/
 	'retry-yield',
 	/**
-	Streams are taken up again at another server.
+	Resumes broken streams on another server.
 	*/
 	'resumption',
 	/**
-	Connections to other regions are opened before a request needs them.
+	Opens connections to other regions before a request needs them.
 	*/
 	'connection-warming',
 	/**
-	One node of each zone reads the registry for the others.
+	Lets one node of each zone read the registry for the others.
 	*/
 	'registry-relay',
 	/**
-	Requests that crash the servers which run them are kept away from all servers.
+	Quarantines requests that crash the servers that run them.
 	*/
 	'quarantine',
 	/**
-	Limits that backend servers name are kept by all nodes together.
+	Enforces the limits that backend servers announce across all nodes.
 	*/
 	'backend-limits',
 	/**
-	A leaving node refuses what it cannot end.
+	Makes a leaving node reject requests that it cannot complete.
 	*/
 	'leaving-admission',
 ] as const;
@@ -114,7 +113,7 @@
 export type DisabledMechanisms = ReadonlySet<Mechanism>;
 
 /**
-Reads names separated by commas, or nothing.
+Parses comma-separated names of mechanisms; an empty text disables none.
 */
 export const parseDisabledMechanisms = (
 	text: string,
--- a/tests/mechanisms/mechanisms.test.ts
+++ b/tests/mechanisms/mechanisms.test.ts
@@ -4,7 +4,7 @@
 	parseDisabledMechanisms,
 } from '../../src/mechanisms/index.ts';
 
-test('names are read, spaces and empty ones left out', (t: TestContext) => {
+test('names are parsed, and spaces and empty names are ignored', (t: TestContext) => {
 	t.assert.deepStrictEqual(
 		[...parseDisabledMechanisms(' waiting, ,silence,').unwrapOr(new Set())],
 		['waiting', 'silence'],
@@ -15,7 +15,7 @@
 	);
 });
 
-test('an unknown name is an error that lists the names', (t: TestContext) => {
+test('an unknown name is an error that lists all valid names', (t: TestContext) => {
 	const read = parseDisabledMechanisms('waiting,patience');
 	t.assert.ok(read.isErr);
 	t.assert.match(read.error, /patience/v);
