--- a/soak/check-soak.ts
+++ b/soak/check-soak.ts
@@ -1,7 +1,7 @@
 /**
 Checks the guarantees of the gateway against the records of callers and servers.
 */
-import {mostInSpan} from '../tests/most-in-span.ts';
+import {maximumInWindow} from '../tests/most-in-span.ts';
 import {eventOf} from '../stand-ins/registered-server.ts';
 import {nodeOfRequest, type CallerRecord} from './soak-callers.ts';
 import {applyMs, maximumAttempts} from './soak-routes.ts';
@@ -220,7 +220,7 @@
 				),
 		)
 		.map(({at}) => at);
-	const maximum = mostInSpan(times, limitWindowMs);
+	const maximum = maximumInWindow(times, limitWindowMs);
 	const allowed = 1.5 * limit * (limitWindowMs / 1000) + 5;
 	return maximum <= allowed
 		? []
--- a/src/backends/upstream-client.ts
+++ b/src/backends/upstream-client.ts
@@ -1,6 +1,6 @@
 import type {Buffer} from 'node:buffer';
 import {buildConnector, Pool, type Dispatcher} from 'undici';
-import {headerReader, type Address} from '../shared/index.ts';
+import {createHeaderReader, type Address} from '../shared/index.ts';
 
 /**
 One request to a backend server or another node.
@@ -288,7 +288,7 @@
 
 			listener.onHead({
 				status,
-				header: headerReader(headers),
+				header: createHeaderReader(headers),
 				rawHeaders: textsOf(started.rawHeaders),
 			});
 		},
--- a/src/configuration/configuration-store.ts
+++ b/src/configuration/configuration-store.ts
@@ -30,7 +30,7 @@
 /**
 Result of offering a document to the store.
 */
-export type Offer =
+export type OfferResult =
 	| {readonly kind: 'accepted'; readonly parsed: ParsedConfiguration}
 	| {readonly kind: 'refused'; readonly refusal: RejectedDocument};
 
@@ -40,7 +40,7 @@
 export type ConfigurationStore = {
 	current(): ParsedConfiguration | undefined;
 	stamp(): ConfigurationStamp;
-	offer(text: string, source: ConfigurationSource, now: number): Offer;
+	offer(text: string, source: ConfigurationSource, now: number): OfferResult;
 	/**
 	Whether a peer's stamp is newer than that of the document in force.
 	*/
@@ -91,7 +91,7 @@
 
 	const stamp = () => (current ? stampOf(current) : noConfiguration);
 
-	const reject = (refusal: RejectedDocument): Offer => {
+	const reject = (refusal: RejectedDocument): OfferResult => {
 		// The platform and several peers offer the document in force again and again; only faults are recorded.
 		if (refusal.reason !== 'same') {
 			rejections = [...rejections, refusal].slice(-maximumRejections);
--- a/src/controllers/controller-host.ts
+++ b/src/controllers/controller-host.ts
@@ -43,7 +43,7 @@
 			'process was paused; all known state is treated as stale',
 		);
 		for (const controller of controllers) {
-			controller.woken?.(now, pausedMs);
+			controller.resumed?.(now, pausedMs);
 		}
 	};
 
--- a/src/controllers/controller.ts
+++ b/src/controllers/controller.ts
@@ -17,7 +17,7 @@
 	/**
 	Called after the process was paused, because all known state may be stale.
 	*/
-	woken?(now: number, pausedMs: number): void;
+	resumed?(now: number, pausedMs: number): void;
 	/**
 	Called once, when all requests have ended.
 	*/
--- a/src/digests/digest-table.ts
+++ b/src/digests/digest-table.ts
@@ -31,7 +31,7 @@
 	/**
 	Time after which an entry expires, in milliseconds, per kind.
 	*/
-	readonly retention?: Partial<Record<DigestValue['kind'], number>>;
+	readonly retentionMs?: Partial<Record<DigestValue['kind'], number>>;
 };
 
 /**
@@ -94,7 +94,7 @@
 */
 export const createDigestTable = (options: DigestTableOptions): DigestTable => {
 	const rows = new Map<string, Row>();
-	const retention = {...defaultRetentionMs, ...options.retention};
+	const retention = {...defaultRetentionMs, ...options.retentionMs};
 	let counter = 0;
 
 	const isExpired = ({entry, observedAt}: Row, now: number) =>
--- a/src/engines/engine-client.ts
+++ b/src/engines/engine-client.ts
@@ -6,7 +6,11 @@
 import type {LoadReport} from '../fleet/index.ts';
 import type {AttemptFailure} from '../retries/index.ts';
 import type {ClearedRegion} from '../routing/index.ts';
-import {discardBody, headerReader, type Address} from '../shared/index.ts';
+import {
+	discardBody,
+	createHeaderReader,
+	type Address,
+} from '../shared/index.ts';
 import {withdrawnCode, withdrawUnless} from './withdraw-unless.ts';
 
 /**
@@ -268,7 +272,7 @@
 	headers,
 }: Dispatcher.ResponseData): EngineHead => ({
 	status: statusCode,
-	header: headerReader(headers),
+	header: createHeaderReader(headers),
 });
 
 const notSentCodes: ReadonlySet<string> = new Set([
--- a/src/gateway/delivery/send-run.ts
+++ b/src/gateway/delivery/send-run.ts
@@ -166,7 +166,7 @@
 		connectionShare,
 		fleet,
 		headers,
-		canSend: canReceive,
+		canSend,
 		announcements,
 		without,
 	} = context;
@@ -197,7 +197,7 @@
 			address: server.address,
 			maximumConnections: connections.maximum,
 			isLastOnConnection: !connections.isPersistent,
-			canBegin: () => canReceive(id, incarnationId),
+			canBegin: () => canSend(id, incarnationId),
 			connectTimeoutMs: backendConnectTimeoutMs,
 			headers: nextHopHeaders(context, run, [
 				headers.expectedServer,
--- a/src/gateway/delivery/server-probes.ts
+++ b/src/gateway/delivery/server-probes.ts
@@ -70,7 +70,7 @@
 		clock,
 		logger,
 		backendLimits,
-		backoffs: rests,
+		backoffs,
 		statements,
 	} = options;
 
@@ -83,7 +83,7 @@
 		const incarnationId = incarnationIdOf(server);
 		const sentAt = clock();
 		// The refusal that requested the backoff has shown that the server is alive.
-		if (rests.remainingMs(incarnationId, sentAt) > 0) {
+		if (backoffs.remainingMs(incarnationId, sentAt) > 0) {
 			return;
 		}
 
@@ -100,7 +100,7 @@
 				target: options.healthPath(server.service),
 				headers: ['host', server.address, headers.expectedServer, id],
 				body: undefined,
-				canBegin: () => rests.remainingMs(incarnationId, clock()) === 0,
+				canBegin: () => backoffs.remainingMs(incarnationId, clock()) === 0,
 			},
 			{
 				onHead({status, header}) {
--- a/src/gateway/intake/caller-listener.ts
+++ b/src/gateway/intake/caller-listener.ts
@@ -12,7 +12,7 @@
 } from '../../errors/index.ts';
 import {
 	closeServer,
-	headerReader,
+	createHeaderReader,
 	splitAddress,
 	type Address,
 } from '../../shared/index.ts';
@@ -210,7 +210,7 @@
 	target: request.url ?? '/',
 	host: request.headers.host ?? '',
 	rawHeaders: request.rawHeaders,
-	header: headerReader(request.headers),
+	header: createHeaderReader(request.headers),
 	body,
 	isFirst: isFirstOf(request.socket),
 });
--- a/src/gateway/sharing/prompt-sharing.ts
+++ b/src/gateway/sharing/prompt-sharing.ts
@@ -20,7 +20,7 @@
 	StatementHandler,
 } from '../../server-statements/index.ts';
 import type {BackendLimits} from '../../backend-limits/index.ts';
-import {smallestSharedTokens} from '../../routes/index.ts';
+import {minimumSharedTokens} from '../../routes/index.ts';
 import {rendezvousOrder} from '../../shared/index.ts';
 
 /**
@@ -157,7 +157,7 @@
 			source: caches,
 			engines: enginesToRead,
 			publish: feed.publish,
-			minimumTokens: smallestSharedTokens,
+			minimumTokens: minimumSharedTokens,
 			minimumIntervalMs: (engine) =>
 				options.backendLimits.enginePollIntervalMs(incarnationIdOf(engine)),
 			backoffMs: (engine) =>
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -173,7 +173,7 @@
 		availabilityZone: options.availabilityZone,
 		incarnation: () => membership.self().incarnation,
 		sizeOf: codec.sizeOf,
-		retention: {'zone-summary': loadRetentionMs},
+		retentionMs: {'zone-summary': loadRetentionMs},
 	});
 	const startedAt = clock();
 	const leavingSince = new Map<string, number>();
--- a/src/node/configuration-controller.ts
+++ b/src/node/configuration-controller.ts
@@ -1,6 +1,6 @@
 import type {
 	ConfigurationSource,
-	Offer,
+	OfferResult,
 	ConfigurationStamp,
 	ParsedConfiguration,
 } from '../configuration/index.ts';
@@ -16,7 +16,7 @@
 	/**
 	Offers a configuration document from any source to the store.
 	*/
-	offer(text: string, source: ConfigurationSource): Offer['kind'];
+	offer(text: string, source: ConfigurationSource): OfferResult['kind'];
 	/**
 	Fetches the configuration of a peer if the peer's stamp is ahead.
 	*/
@@ -55,7 +55,10 @@
 	let isPolling = false;
 	let nextPollAt = 0;
 
-	const offer = (text: string, source: ConfigurationSource): Offer['kind'] => {
+	const offer = (
+		text: string,
+		source: ConfigurationSource,
+	): OfferResult['kind'] => {
 		const outcome = configuration.offer(text, source, clock());
 		if (outcome.kind === 'accepted') {
 			const {version} = outcome.parsed.configuration;
--- a/src/node/fleet-controller.ts
+++ b/src/node/fleet-controller.ts
@@ -360,7 +360,7 @@
 			nextSummaryAt = now + summaryIntervalMs;
 			summarize(now);
 		},
-		woken(now) {
+		resumed(now) {
 			fleet.handle({kind: 'woken'}, now);
 		},
 	};
--- a/src/node/recovery-controller.ts
+++ b/src/node/recovery-controller.ts
@@ -151,7 +151,7 @@
 			run(join, Math.max(1, settings.joinTimeoutMs));
 			await recovery;
 		},
-		woken() {
+		resumed() {
 			run(catchUp, catchUpTimeoutMs);
 		},
 	};
--- a/src/node/vm-list-controller.ts
+++ b/src/node/vm-list-controller.ts
@@ -1,7 +1,7 @@
 import type {Controller} from '../controllers/index.ts';
 import {anyIncarnation} from '../fleet/index.ts';
 import {hasRole, type Member} from '../membership/index.ts';
-import type {ListedVm} from '../platform/index.ts';
+import type {VmListEntry} from '../platform/index.ts';
 import type {PlatformAnswer} from './configuration-controller.ts';
 import type {NodeContext} from './node-context.ts';
 
@@ -39,7 +39,7 @@
 	let nextAt = 0;
 	let isQuerying = false;
 
-	const applyList = (vms: readonly ListedVm[]) => {
+	const applyList = (vms: readonly VmListEntry[]) => {
 		listeners.onEntryVms(
 			vms.filter((vm) => vm.kind === 'entry').map((vm) => toMember(vm)),
 		);
@@ -82,7 +82,7 @@
 	};
 };
 
-const toMember = (vm: Extract<ListedVm, {kind: 'entry'}>): Member => ({
+const toMember = (vm: Extract<VmListEntry, {kind: 'entry'}>): Member => ({
 	id: vm.id,
 	availabilityZone: vm.availabilityZone,
 	peerAddress: vm.peerAddress,
--- a/src/peers/quarantine-messages.ts
+++ b/src/peers/quarantine-messages.ts
@@ -27,7 +27,7 @@
 	/**
 	Remaining time of the quarantine, in milliseconds.
 	*/
-	readonly leftMs: number;
+	readonly remainingMs: number;
 	readonly level: number;
 };
 
@@ -87,9 +87,9 @@
 		}
 
 		case 'quarantine': {
-			return message.entries.map(({fingerprint, leftMs, level}) => [
+			return message.entries.map(({fingerprint, remainingMs, level}) => [
 				fingerprint,
-				Math.round(leftMs),
+				Math.round(remainingMs),
 				level,
 			]);
 		}
@@ -124,9 +124,9 @@
 		}
 
 		case 'quarantine': {
-			const entries = rows.map(([fingerprint, leftMs, level]) => ({
+			const entries = rows.map(([fingerprint, remainingMs, level]) => ({
 				fingerprint: checkString(fingerprint),
-				leftMs: checkNonNegative(leftMs),
+				remainingMs: checkNonNegative(remainingMs),
 				level: checkNonNegative(level),
 			}));
 			return {kind, from, entries};
--- a/src/platform/platform-client.ts
+++ b/src/platform/platform-client.ts
@@ -23,7 +23,7 @@
 /**
 An entry of the platform's VM list.
 */
-export type ListedVm = z.output<typeof listedVm>;
+export type VmListEntry = z.output<typeof listedVm>;
 
 /**
 A model version in the weight store.
@@ -44,7 +44,7 @@
 		after: number,
 		waitMs: number,
 	): Promise<Result<ConfigurationRead, PlatformFault>>;
-	readVmList(): Promise<Result<readonly ListedVm[], PlatformFault>>;
+	readVmList(): Promise<Result<readonly VmListEntry[], PlatformFault>>;
 	readDirectory(): Promise<Result<readonly string[], PlatformFault>>;
 	readWeights(): Promise<Result<readonly StoredWeights[], PlatformFault>>;
 	close(): Promise<void>;
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -146,7 +146,7 @@
 			from: self,
 			entries: entries.map(({fingerprint, until, level}) => ({
 				fingerprint,
-				leftMs: until - now,
+				remainingMs: until - now,
 				level,
 			})),
 		});
@@ -196,8 +196,8 @@
 		{entries, from}: Extract<QuarantineMessage, {readonly kind: 'quarantine'}>,
 		now: number,
 	) => {
-		for (const {fingerprint, leftMs, level} of entries) {
-			const until = now + Math.min(leftMs, longestQuarantineMs);
+		for (const {fingerprint, remainingMs, level} of entries) {
+			const until = now + Math.min(remainingMs, longestQuarantineMs);
 			const entry = {fingerprint, until, level};
 			if (ledger.mergeEntry(entry, now)) {
 				recordQuarantined(entry, from, now);
--- a/src/routes/prompt-prefix.ts
+++ b/src/routes/prompt-prefix.ts
@@ -19,7 +19,7 @@
 Minimum length of a shared part that affects placement, in tokens. Recomputing a shorter part takes a few
 milliseconds of prefill, which is less than a request waits for a particular server.
 */
-export const smallestSharedTokens = 512;
+export const minimumSharedTokens = 512;
 
 /**
 Parses `ID:TOKENS,ID:TOKENS`. Parts without an id or with a count that is not a number are skipped; a missing
@@ -47,7 +47,5 @@
 		}
 	}
 
-	return longest && longest.tokens >= smallestSharedTokens
-		? longest
-		: undefined;
+	return longest && longest.tokens >= minimumSharedTokens ? longest : undefined;
 };
--- a/src/shared/elapsed-clock.ts
+++ b/src/shared/elapsed-clock.ts
@@ -5,7 +5,7 @@
 	/**
 	Monotonic clock. It stops while the machine is suspended.
 	*/
-	readonly steady: () => number;
+	readonly monotonic: () => number;
 	/**
 	Wall clock. It advances while the machine is suspended and can be set at any time.
 	*/
@@ -55,7 +55,7 @@
 	sources: ClockSources,
 	onSuspended: (ms: number) => void,
 ): ElapsedClock => {
-	const {steady, wall, uptime} = sources;
+	const {monotonic: steady, wall, uptime} = sources;
 	let totalSuspendedMs = 0;
 	let steadyAt = steady();
 	let wallAt = wall();
--- a/src/shared/header-reader.ts
+++ b/src/shared/header-reader.ts
@@ -8,7 +8,7 @@
 /**
 Creates a function that returns the first value of a header.
 */
-export const headerReader =
+export const createHeaderReader =
 	(headers: HeaderValues) =>
 	(name: string): string | undefined => {
 		const value = headers[name];
--- a/src/shared/machine-clock.ts
+++ b/src/shared/machine-clock.ts
@@ -8,7 +8,7 @@
 The clocks of the machine that this process runs on.
 */
 export const machineClocks: ClockSources = {
-	steady: () => performance.now(),
+	monotonic: () => performance.now(),
 	wall: () => Date.now(),
 	uptime: () => os.uptime() * secondMs,
 };
--- a/tests/acceptance/gateway-command.test.ts
+++ b/tests/acceptance/gateway-command.test.ts
@@ -13,7 +13,7 @@
 import {createStandInRegistry, writeRoutes} from '../../stand-ins/registry.ts';
 import {startRegistryServer} from '../../stand-ins/registry-server.ts';
 import {documentOf, routeOf, serviceOf} from '../gateway/fixtures.ts';
-import {until} from '../until.ts';
+import {waitUntil} from '../until.ts';
 
 const registry = createStandInRegistry();
 const network = `127.${randomInt(2, 250)}.${randomInt(1, 250)}`;
@@ -85,7 +85,7 @@
 			services: [serviceOf()],
 		}),
 	);
-	await until(
+	await waitUntil(
 		async () => (await sendRequest()).status === 200,
 		processAttempts,
 	);
@@ -98,7 +98,7 @@
 		document: {version: 9},
 	} as unknown as RegistryValue;
 	registry.write('routes', wrong);
-	await until(
+	await waitUntil(
 		() => log.includes('registry item cannot be read'),
 		processAttempts,
 	);
@@ -111,14 +111,14 @@
 		kind: 'evacuation',
 		availabilityZone: 'north',
 	});
-	await until(
+	await waitUntil(
 		async () => (await sendRequest()).status === 503,
 		processAttempts,
 	);
 	const {status} = await sendRequest();
 	assert.equal(status, 503);
 	registry.write('evacuation north', undefined);
-	await until(
+	await waitUntil(
 		async () => (await sendRequest()).status === 200,
 		processAttempts,
 	);
--- a/tests/acceptance/limited-engine.test.ts
+++ b/tests/acceptance/limited-engine.test.ts
@@ -1,5 +1,5 @@
 import {test, type TestContext} from 'node:test';
-import {mostInSpan} from '../most-in-span.ts';
+import {maximumInWindow} from '../most-in-span.ts';
 import {startEngineScene} from './engine-scene.ts';
 
 const limit = 4;
@@ -14,7 +14,7 @@
 	const announcedAt = Date.now();
 	const statuses = await sendSteadily(convergenceMs + 2 * spanMs);
 	const {arrivals} = await counts();
-	const most = mostInSpan(
+	const most = maximumInWindow(
 		arrivals.filter((at) => at >= announcedAt + convergenceMs),
 		spanMs,
 	);
--- a/tests/backend-limits/limit-model.ts
+++ b/tests/backend-limits/limit-model.ts
@@ -7,7 +7,7 @@
 import type {BackendLimitMessage} from '../../src/peers/backend-limit-messages.ts';
 import {createRandom} from '../../src/shared/index.ts';
 import {memberOf} from '../fixtures.ts';
-import {mostInSpan} from '../most-in-span.ts';
+import {maximumInWindow} from '../most-in-span.ts';
 
 /**
 Implementation by which a simulated node obeys a limit.
@@ -384,7 +384,7 @@
 	from = 0,
 	until = Infinity,
 ): number =>
-	mostInSpan(
+	maximumInWindow(
 		arrivals.map(({at}) => at).filter((at) => at >= from && at <= until),
 		windowMs,
 	);
--- a/tests/backends/upstream-client.test.ts
+++ b/tests/backends/upstream-client.test.ts
@@ -8,7 +8,7 @@
 	type UpstreamFailure,
 	type UpstreamHead,
 } from '../../src/backends/index.ts';
-import {until} from '../until.ts';
+import {waitUntil} from '../until.ts';
 
 type CallResult = {
 	readonly head: UpstreamHead | undefined;
@@ -207,14 +207,14 @@
 	t.assert.strictEqual(client.hasIdleConnection(address), false);
 	const isIdle = () => client.hasIdleConnection(address);
 	await ask(client, address);
-	await until(isIdle);
+	await waitUntil(isIdle);
 	t.assert.strictEqual(isIdle(), true);
 	const second = ask(client, address);
 	t.assert.strictEqual(client.hasIdleConnection(address), false);
-	await until(() => waiting.length === 1, 100);
+	await waitUntil(() => waiting.length === 1, 100);
 	waiting[0]!.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi');
 	await second;
-	await until(isIdle);
+	await waitUntil(isIdle);
 	t.assert.strictEqual(isIdle(), true);
 });
 
@@ -239,10 +239,10 @@
 			);
 		});
 	await call(true);
-	await until(() => !client.hasIdleConnection(address));
+	await waitUntil(() => !client.hasIdleConnection(address));
 	t.assert.ok(!client.hasIdleConnection(address));
 	await call(false);
-	await until(() => client.hasIdleConnection(address));
+	await waitUntil(() => client.hasIdleConnection(address));
 	t.assert.ok(client.hasIdleConnection(address));
 	t.assert.strictEqual(client.connectionsOpened(), 2);
 });
@@ -278,7 +278,7 @@
 		);
 	call();
 	call();
-	await until(() => failures.length > 0);
+	await waitUntil(() => failures.length > 0);
 	t.assert.strictEqual(ended, 1);
 	t.assert.strictEqual(received, 1);
 	t.assert.deepStrictEqual(
--- a/tests/gateway/crashing-request.test.ts
+++ b/tests/gateway/crashing-request.test.ts
@@ -14,7 +14,7 @@
 import {createStandInRegistry, writeRoutes} from '../../stand-ins/registry.ts';
 import {standInHeaders} from '../../stand-ins/stand-in-headers.ts';
 import type {Route} from '../../src/routes/index.ts';
-import {until} from '../until.ts';
+import {waitUntil} from '../until.ts';
 import {documentOf, routeOf, serviceOf} from './fixtures.ts';
 
 const zones = {'north-1': 'upland', 'north-2': 'upland', south: 'lowland'};
@@ -100,7 +100,7 @@
 		await deployment.stop();
 		await Promise.all(engines.map(async (engine) => engine.close()));
 	});
-	await until(() =>
+	await waitUntil(() =>
 		deployment.nodes.every(
 			(node) => node.isReady() && node.entryAddresses('', '').length === nodes,
 		),
@@ -167,7 +167,7 @@
 	const {deployment, runLog} = await setUp(t, {isResumable: true});
 	await sendWithFatal(deployment.callerAddresses, 100);
 	await deployment.restart(1);
-	await until(() => deployment.nodes[1]!.isReady());
+	await waitUntil(() => deployment.nodes[1]!.isReady());
 	await sleep(propagationMs);
 	for (let turn = 0; turn < 10; turn += 1) {
 		await ask(deployment.callerAddresses[1]!, fatalBody);
--- a/tests/gateway/gateway.test.ts
+++ b/tests/gateway/gateway.test.ts
@@ -12,7 +12,7 @@
 } from '../../stand-ins/registered-server.ts';
 import {createStandInRegistry, writeRoutes} from '../../stand-ins/registry.ts';
 import {standInHeaders} from '../../stand-ins/stand-in-headers.ts';
-import {until} from '../until.ts';
+import {waitUntil} from '../until.ts';
 import {documentOf, routeOf, serviceOf} from './fixtures.ts';
 
 const zones = {north: 'upland', south: 'lowland'};
@@ -100,7 +100,7 @@
 				{kind: 'events', count: 5, pauseMs: 5},
 			),
 		]);
-		await until(() =>
+		await waitUntil(() =>
 			deployment.nodes.every(
 				(node) => node.isReady() && node.entryAddresses('', '').length === 2,
 			),
@@ -164,7 +164,7 @@
 		registry.write('server plain-1', undefined);
 		const [address = ''] = deployment.callerAddresses;
 		// Only the new server remains in the region of this node.
-		await until(async () => {
+		await waitUntil(async () => {
 			const isKnown = (await deployment.nodes[0]!.metrics()).includes(
 				'quillford_backend_servers 1\n',
 			);
@@ -251,7 +251,7 @@
 	const deployment = await startGateways({north: 'upland'}, 1, registry);
 	t.after(deployment.stop);
 	const [address = ''] = deployment.callerAddresses;
-	await until(() => deployment.nodes[0]!.isReady());
+	await waitUntil(() => deployment.nodes[0]!.isReady());
 	const {status} = await ask(address, '/a/b');
 	t.assert.strictEqual(status, 413);
 });
@@ -284,7 +284,7 @@
 			services: [serviceOf({name: 'both'})],
 		}),
 	);
-	await until(async () => (await ask(address, '/known/a')).status === 200);
+	await waitUntil(async () => (await ask(address, '/known/a')).status === 200);
 	for (let index = 0; index < 10; index += 1) {
 		await ask(address, '/known/a');
 	}
--- a/tests/gateway/limited-server.test.ts
+++ b/tests/gateway/limited-server.test.ts
@@ -1,8 +1,8 @@
 import {test, type TestContext} from 'node:test';
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Arrival} from '../../stand-ins/statement-server.ts';
-import {mostInSpan} from '../most-in-span.ts';
-import {until} from '../until.ts';
+import {maximumInWindow} from '../most-in-span.ts';
+import {waitUntil} from '../until.ts';
 import {
 	sendSteadily,
 	setUp,
@@ -20,7 +20,7 @@
 	1.5 * perSecond * (spanMs / 1000) + 5;
 
 const mostIn = (arrivals: readonly Arrival[], from: number): number =>
-	mostInSpan(
+	maximumInWindow(
 		arrivals.map(({at}) => at).filter((at) => at >= from),
 		spanMs,
 	);
@@ -120,7 +120,7 @@
 	limited!.setLimit(limit);
 	await sendSteadily(scene, 80, 2000);
 	await scene.deployment.restart(3);
-	await until(() => scene.deployment.nodes[3]!.isReady());
+	await waitUntil(() => scene.deployment.nodes[3]!.isReady());
 	await sleep(applyMs);
 	const from = performance.now();
 	await sendSteadily(scene, 80, spanMs + 500);
--- a/tests/gateway/server-answers-fuzz.test.ts
+++ b/tests/gateway/server-answers-fuzz.test.ts
@@ -5,7 +5,7 @@
 import {startStandInServer} from '../../stand-ins/registered-server.ts';
 import {writeRoutes} from '../../stand-ins/registry.ts';
 import {standInHeaders} from '../../stand-ins/stand-in-headers.ts';
-import {until} from '../until.ts';
+import {waitUntil} from '../until.ts';
 import {replies, startBrokenServer, type Reply} from './broken-server.ts';
 import {documentOf, routeOf, serviceOf} from './fixtures.ts';
 
@@ -69,7 +69,7 @@
 		return {status: answer.statusCode, text: await answer.body.text()};
 	};
 
-	await until(async () => (await ask('/sound/a')).status === 200);
+	await waitUntil(async () => (await ask('/sound/a')).status === 200);
 	await fc.assert(
 		fc.asyncProperty(replies, async (given) => {
 			reply = given;
--- a/tests/gateway/sharing/prompt-sharing.test.ts
+++ b/tests/gateway/sharing/prompt-sharing.test.ts
@@ -9,7 +9,7 @@
 import {createRegistryMirror} from '../../../src/registry/index.ts';
 import {noStatements} from '../../../src/server-statements/index.ts';
 import {memberOf} from '../../fixtures.ts';
-import {until} from '../../until.ts';
+import {waitUntil} from '../../until.ts';
 import {documentOf, serviceOf} from '../fixtures.ts';
 
 const mirrorWithEngines = (count: number) => {
@@ -109,7 +109,7 @@
 	const {sharing} = sharingOf(none, false);
 	t.after(sharing.stop);
 	sharing.tick();
-	await until(() => sharing.isCached('engine-1', 'part'));
+	await waitUntil(() => sharing.isCached('engine-1', 'part'));
 	t.assert.ok(sharing.isCached('engine-1', 'part'));
 });
 
--- a/tests/gateway/statement-scene.ts
+++ b/tests/gateway/statement-scene.ts
@@ -17,7 +17,7 @@
 } from '../../stand-ins/registry.ts';
 import {standInHeaders} from '../../stand-ins/stand-in-headers.ts';
 import type {Route} from '../../src/routes/index.ts';
-import {until} from '../until.ts';
+import {waitUntil} from '../until.ts';
 import {documentOf, routeOf, serviceOf} from './fixtures.ts';
 
 const oneRegion: Readonly<Record<string, string>> = {
@@ -112,7 +112,7 @@
 		await deployment.stop();
 		await Promise.all(started.map(async (server) => server.close()));
 	});
-	await until(() =>
+	await waitUntil(() =>
 		deployment.nodes.every(
 			(node) => node.isReady() && node.entryAddresses('', '').length === nodes,
 		),
--- a/tests/gateway/suspended-machine.test.ts
+++ b/tests/gateway/suspended-machine.test.ts
@@ -7,7 +7,7 @@
 import {startGateways} from '../../stand-ins/gateways.ts';
 import {createStandInRegistry, writeRoutes} from '../../stand-ins/registry.ts';
 import {standInHeaders} from '../../stand-ins/stand-in-headers.ts';
-import {until} from '../until.ts';
+import {waitUntil} from '../until.ts';
 import {documentOf} from './fixtures.ts';
 
 // Longer than routes are considered fresh.
@@ -21,14 +21,14 @@
 		1,
 		registry,
 		{
-			steady: machineClocks.steady,
+			monotonic: machineClocks.monotonic,
 			wall: () => machineClocks.wall() + leap,
 			uptime: () => machineClocks.uptime() + leap,
 		},
 	);
 	t.after(stop);
 	writeRoutes(registry, documentOf());
-	await until(() => nodes[0]!.isReady());
+	await waitUntil(() => nodes[0]!.isReady());
 	return {
 		suspend() {
 			registry.setUp(false);
--- a/tests/most-in-span.ts
+++ b/tests/most-in-span.ts
@@ -4,7 +4,7 @@
 @param times In order, in milliseconds.
 @param spanMs Length of the span, in milliseconds.
 */
-export const mostInSpan = (
+export const maximumInWindow = (
 	times: readonly number[],
 	spanMs: number,
 ): number => {
--- a/tests/peers/peer-message-codec.test.ts
+++ b/tests/peers/peer-message-codec.test.ts
@@ -113,7 +113,7 @@
 		fingerprint: '0123456789abcdef',
 		sentAgoMs: 2 * index,
 	}));
-	const entries = [{fingerprint: 'a', leftMs: 1000, level: 2}];
+	const entries = [{fingerprint: 'a', remainingMs: 1000, level: 2}];
 	const datagrams = codec.encode({kind: 'crashes', from: 'node', runs});
 	const received = datagrams.map((datagram) => codec.decode(datagram));
 	assert.deepEqual(
--- a/tests/server-statements/slow-start-model.ts
+++ b/tests/server-statements/slow-start-model.ts
@@ -1,6 +1,6 @@
 import {createRandom} from '../../src/shared/index.ts';
 import {createServerBackoffs} from '../../src/server-statements/index.ts';
-import {mostInSpan} from '../most-in-span.ts';
+import {maximumInWindow} from '../most-in-span.ts';
 
 /**
 Strategy by which nodes resume sending to a server after its backoff.
@@ -97,5 +97,5 @@
 		}
 	}
 
-	return {most: mostInSpan(arrivals, windowMs), slowestMs, usedAfterMs};
+	return {most: maximumInWindow(arrivals, windowMs), slowestMs, usedAfterMs};
 };
--- a/tests/shared/elapsed-clock.test.ts
+++ b/tests/shared/elapsed-clock.test.ts
@@ -12,7 +12,7 @@
 	const suspensions: number[] = [];
 	const clock = createElapsedClock(
 		{
-			steady: () => clocks.steady,
+			monotonic: () => clocks.steady,
 			wall: () => clocks.wall,
 			uptime: () => clocks.uptime,
 		},
@@ -83,7 +83,7 @@
 	const suspensions: number[] = [];
 	const clock = createElapsedClock(
 		{
-			steady: () => clocks.steady,
+			monotonic: () => clocks.steady,
 			wall() {
 				clocks.steady += stopMs;
 				clocks.wall += stopMs;
--- a/tests/until.ts
+++ b/tests/until.ts
@@ -10,7 +10,7 @@
 @param isTrue Whether it has come about.
 @param turns How often it is looked at, every 50 milliseconds.
 */
-export const until = async (
+export const waitUntil = async (
 	isTrue: () => boolean | Promise<boolean>,
 	turns = 100,
 ): Promise<void> => {
